--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -7,9 +7,9 @@
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
   try {
-    lemonspread::wire::Adapter().serve(std::cin, std::cout);
+    marblehub::policy::adapter::Adapter().serve(std::cin, std::cout);
   } catch (const std::exception& error) {
-    std::cerr << "lemonspread_adapter: " << error.what() << '\n';
+    std::cerr << "marblehub-adapter: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <ostream>
 
-namespace lemonspread::wire {
+namespace marblehub::policy::adapter {
 namespace {
 
 using marblehub::config::number_in;
@@ -348,4 +348,4 @@
   }
 }
 
-}  // namespace lemonspread::wire
+}  // namespace marblehub::policy::adapter
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "config/options.h"
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
-namespace lemonspread::wire {
+namespace marblehub::policy::adapter {
 
 // Input that the wire page does not allow; what() is one plain line.
 using WireError = marblehub::config::DecodeError;
@@ -47,4 +47,4 @@
   std::vector<Action> actions_;
 };
 
-}  // namespace lemonspread::wire
+}  // namespace marblehub::policy::adapter
--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,11 +1,11 @@
 // What the module costs a decision, by the size of the fleet: a call asked for, established and ended again.
 #include <benchmark/benchmark.h>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace {
 
-using namespace lemonspread;
+using namespace marblehub::policy;
 
 void decision(benchmark::State& state) {
   auto workers = static_cast<int>(state.range(0));
--- a/examples/relay.cpp
+++ b/examples/relay.cpp
@@ -1,9 +1,9 @@
 // A relay in miniature: how an event loop hands events to a Balancer and carries out what it decides.
-#include <lemonspread/lemonspread.h>
+#include <marblehub/policy.h>
 
 #include <cstdio>
 
-namespace ls = lemonspread;
+namespace ls = marblehub::policy;
 
 int main() {
   ls::Settings settings;
--- a/include/lemonspread/lemonspread.h
+++ b/include/marblehub/policy.h
@@ -1,4 +1,4 @@
-// lemonspread: the decisions of a balancer for long-lived connections.
+// marblehub::policy: every decision of a balancer for long-lived connections, with no I/O, clock or wire.
 //
 // A relay makes one Balancer, hands it every event with the time at which it was seen, and carries out the
 // actions it gets back, in order. No I/O, no clock, no thread and no global state: the same settings, seed
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace lemonspread {
+namespace marblehub::policy {
 
 using Time = std::int64_t;  // microseconds
 
@@ -219,4 +219,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -120,7 +120,7 @@
 }
 
 WorkerList list_from(const Options& options) {
-  using lemonspread::Health;
+  using marblehub::policy::Health;
   WorkerList list;
   constexpr std::int64_t kLatestStart = std::numeric_limits<std::int64_t>::max() / 1000;  // in microseconds
   list.index = options.number<std::int64_t>("index", 0);
@@ -149,7 +149,7 @@
 }
 
 // The platform counts one that is longer, or not stated, as 3 s.
-static lemonspread::Time longest_deadline_in(const Options& settings) {
+static marblehub::policy::Time longest_deadline_in(const Options& settings) {
   constexpr double most_us = 3e6;
   double longest = 0;
   int classes = settings.number<int>("request_classes.count", 1);
@@ -157,7 +157,7 @@
     std::string key = "request_classes." + std::to_string(i) + ".give_up_us";
     longest = std::max(longest, settings.number_or<double>(key, 0, most_us));
   }
-  return static_cast<lemonspread::Time>(std::min(longest, most_us));
+  return static_cast<marblehub::policy::Time>(std::min(longest, most_us));
 }
 
 Startup startup_from(const Options& all) {
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -29,8 +29,8 @@
 Options below(const Options& options, std::string_view path, std::string place);
 
 struct WorkerEntry {
-  lemonspread::BackendEntry backend;  // its address is the worker's name: the same at every balancer
-  std::string address;                // where this balancer reaches it
+  marblehub::policy::BackendEntry backend;  // its address is the worker's name: the same at every balancer
+  std::string address;                      // where this balancer reaches it
 };
 
 // One answer of the registry, or the list a balancer is started with.
@@ -49,9 +49,9 @@
   std::uint64_t seed = 0;
   std::int64_t sockets = 1024;
   WorkerList known;
-  lemonspread::Settings settings;
-  lemonspread::Time longest_deadline = 0;      // of the classes' give_up_us, as a planned restart counts it
-  std::string quic_file = "deploy/quic.json";  // of the second front; off where there is none
+  marblehub::policy::Settings settings;
+  marblehub::policy::Time longest_deadline = 0;  // of the classes' give_up_us, as a planned restart counts it
+  std::string quic_file = "deploy/quic.json";    // of the second front; off where there is none
   std::string remote_write_file = "deploy/remote_write.json";  // the same
   std::string rebalance_file = "deploy/rebalance.json";        // of the planner of moves; the same
   std::string fleet_file = "deploy/fleet.json";                // of what balancers keep together; the same
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -5,7 +5,7 @@
 
 namespace marblehub::config {
 
-using namespace lemonspread;
+using namespace marblehub::policy;
 
 Settings settings_from(const Options& options) {
   Settings s;
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::config {
 
@@ -109,6 +109,6 @@
   mutable std::set<std::string> read_;
 };
 
-lemonspread::Settings settings_from(const Options& options);
+marblehub::policy::Settings settings_from(const Options& options);
 
 }  // namespace marblehub::config
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -8,7 +8,7 @@
 namespace marblehub::core {
 namespace {
 
-using namespace lemonspread;
+using namespace marblehub::policy;
 
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 constexpr Time kWatchEvery = 200 * kMillisecond;
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -26,7 +26,7 @@
 
   Time now() const { return clock_.now(); }
   int class_named(std::string_view name) const;  // -1: none
-  const lemonspread::Settings& settings() const { return settings_; }
+  const marblehub::policy::Settings& settings() const { return settings_; }
 
   // ---- From the fronts.
   Exchange& take(Call call, ClientSide& client, WorkerSide& workers);
@@ -67,7 +67,7 @@
   // The workers that the registry has named, those that drain or are gone included.
   struct Worker {
     std::string address;  // where this balancer reaches it
-    lemonspread::Health health = lemonspread::Health::serving;
+    marblehub::policy::Health health = marblehub::policy::Health::serving;
     Time leaving_since = 0;  // when it was first told to drain or be gone
     Time moved_since = 0;    // when it was told to be at another address than before
   };
@@ -103,11 +103,11 @@
   Exchange& enter(Call call, ClientSide& client, WorkerSide& workers);
   std::string address_of(const std::string& worker) const;  // empty: unknown
   void learn(const config::WorkerList& list);
-  void tell_list(lemonspread::ListForm form, const config::WorkerList& list);
-  void tell(lemonspread::Event event);
+  void tell_list(marblehub::policy::ListForm form, const config::WorkerList& list);
+  void tell(marblehub::policy::Event event);
   void pump();
-  void act(const lemonspread::Action& action);
-  void submit(const lemonspread::Submit& action);
+  void act(const marblehub::policy::Action& action);
+  void submit(const marblehub::policy::Submit& action);
   void delegate(Exchange& exchange, const std::string& worker, Time wait);
   void hand_over(Exchange& exchange);
   void handed_again(Exchange& exchange);
@@ -117,17 +117,17 @@
   void follow_gate();
   void answer(Exchange& exchange, Answer answer, Time pause, std::string_view words);
   void answer_and_close(Exchange& exchange, Answer answer, Time pause);
-  lemonspread::RequestEvent request_of(const Exchange& exchange) const;
-  lemonspread::ResultEvent result_of(const Exchange& exchange, Outcome outcome, const LoadReport& report,
-                                     bool terminal) const;
+  marblehub::policy::RequestEvent request_of(const Exchange& exchange) const;
+  marblehub::policy::ResultEvent result_of(const Exchange& exchange, Outcome outcome,
+                                           const LoadReport& report, bool terminal) const;
   void close(Exchange& exchange);
   Exchange* find(std::uint64_t id);
 
-  const lemonspread::Settings settings_;
+  const marblehub::policy::Settings settings_;
   const Clock& clock_;
   Prober& prober_;
   Registry& registry_;
-  lemonspread::Balancer balancer_;
+  marblehub::policy::Balancer balancer_;
   std::unordered_map<std::string, Worker> known_;
   std::uint64_t list_version_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Exchange>> calls_;
@@ -140,7 +140,7 @@
   int shared_by_ = 0;  // balancers, as the module was last told; 0: as the settings say
   std::unordered_map<std::string, Pace> paces_;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  std::deque<lemonspread::Event> events_;
+  std::deque<marblehub::policy::Event> events_;
   std::uint64_t next_id_ = 1;
   std::size_t unanswered_ = 0;
   Time waits_since_ = 0;  // what is read now may have come at any time since; 0: never told
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "config/json.h"
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::core {
 
-using lemonspread::LoadReport;
-using lemonspread::Outcome;
-using lemonspread::Time;
+using marblehub::policy::LoadReport;
+using marblehub::policy::Outcome;
+using marblehub::policy::Time;
 
 class Exchange;
 
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,14 +1,14 @@
-// Every decision of lemonspread. What it remembers is src/state.h; docs/design.md tells why each part is so.
+// Every decision of the policy. What it remembers is src/state.h; docs/design.md tells why each part is so.
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <set>
 #include <unordered_map>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 #include "state.h"
 
-namespace lemonspread {
+namespace marblehub::policy {
 namespace {
 
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
@@ -693,4 +693,4 @@
   return i < 0 ? 0 : impl_->backends[i].active;
 }
 
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/src/fading.h
+++ b/src/fading.h
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
-namespace lemonspread {
+namespace marblehub::policy {
 
 // A figure that fades with time, to 1/e over its memory.
 struct Faded {
@@ -31,4 +31,4 @@
   return part >= 1 ? 1 : cold_share + (1 - cold_share) * std::max(0.0, part);
 }
 
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/src/fleet/service/pools.cpp
+++ b/src/fleet/service/pools.cpp
@@ -8,8 +8,8 @@
   const auto before = ready_;
   if (list.snapshot) ready_.clear();
   for (const config::WorkerEntry& entry : list.workers) {
-    const lemonspread::BackendEntry& b = entry.backend;
-    if (b.health == lemonspread::Health::serving)
+    const marblehub::policy::BackendEntry& b = entry.backend;
+    if (b.health == marblehub::policy::Health::serving)
       ready_[b.address] = {b.address, b.zone, "", b.cell < 0 ? "" : std::to_string(b.cell)};
     else
       ready_.erase(b.address);
--- a/src/fleet/time.h
+++ b/src/fleet/time.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::fleet {
 
-using lemonspread::Time;  // microseconds of the fleet's clock: the system's time at start, carried on
-                          // steadily
+using marblehub::policy::Time;  // microseconds of the fleet's clock: the system's time at start, carried on
+                                // steadily
 
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 
--- a/src/model/host.cpp
+++ b/src/model/host.cpp
@@ -8,8 +8,8 @@
 namespace marblehub::model {
 namespace {
 
-using lemonspread::Health;
-using lemonspread::Outcome;
+using marblehub::policy::Health;
+using marblehub::policy::Outcome;
 
 constexpr Time kTick = kSecond;  // how often clients' messages are looked at
 constexpr Time kAllSpeak =
@@ -195,7 +195,7 @@
       spawn_(seed, Purpose::spawn, number),
       choice_(seed, Purpose::choice, number),
       workers_side_(std::make_unique<Net>(*this)) {
-  lemonspread::Settings& s = startup_.settings;
+  marblehub::policy::Settings& s = startup_.settings;
   s.balancers = scenario.balancers;
   s.me = static_cast<int>(number);
   s.zone = "a";
@@ -206,7 +206,7 @@
   s.connect_timeout_us = 250'000;
   s.cold_share = scenario.cold_share;
   s.warm_within_us = scenario.warm_within;
-  lemonspread::RequestClass c;
+  marblehub::policy::RequestClass c;
   c.name = "standing";
   c.slo_us = scenario.slo;
   c.message_aim_us = scenario.aim;
--- a/src/model/lanes.h
+++ b/src/model/lanes.h
@@ -12,11 +12,11 @@
 #include <mutex>
 #include <vector>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::model {
 
-using lemonspread::Time;
+using marblehub::policy::Time;
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 
 // A client as it goes from balancer to balancer.
@@ -74,7 +74,7 @@
   std::uint64_t order = 0;  // lane of origin and its count
   std::uint32_t lane = 0;   // where it happens
   What what = What::wake;
-  std::uint8_t outcome = 0;  // lemonspread::Outcome, or Health in a list
+  std::uint8_t outcome = 0;  // marblehub::policy::Outcome, or Health in a list
   std::uint32_t host = 0, worker = 0;
   std::uint64_t key = 0;  // of a connection attempt, a seat or a message
   Time time = 0;
--- a/src/model/worker.cpp
+++ b/src/model/worker.cpp
@@ -9,8 +9,8 @@
 namespace marblehub::model {
 namespace {
 
-using lemonspread::Health;
-using lemonspread::Outcome;
+using marblehub::policy::Health;
+using marblehub::policy::Outcome;
 
 constexpr double kExtraMemory = 1e6;  // microseconds over which set-ups and probes are averaged
 constexpr double kMostLoad = 20;      // as a report says it
@@ -47,7 +47,7 @@
 }
 
 double Worker::warmth(Time now) const {
-  return lemonspread::warm_part(started_, now, scenario_.cold_share, scenario_.warm_within);
+  return marblehub::policy::warm_part(started_, now, scenario_.cold_share, scenario_.warm_within);
 }
 
 double Worker::capacity(Time now) const { return kind_.cores * kind_.speed * slow_ * warmth(now) * 1e6; }
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -103,8 +103,9 @@
 
  private:
   void set_up(Worker& w, const Event& event);
-  void reply(const Event& to, What what, lemonspread::Outcome outcome, double value = -1, Time after = 0);
-  void tell_list(const Worker& w, lemonspread::Health health);
+  void reply(const Event& to, What what, marblehub::policy::Outcome outcome, double value = -1,
+             Time after = 0);
+  void tell_list(const Worker& w, marblehub::policy::Health health);
   void stop(Worker& w, bool fell);
   void start(Worker& w);
   double report(Worker& w);
--- a/src/net/lines.cpp
+++ b/src/net/lines.cpp
@@ -100,7 +100,7 @@
   return whole ? std::optional(opening) : std::nullopt;
 }
 
-std::uint64_t number_for(std::string_view name) { return lemonspread::name_hash(name) | 1; }
+std::uint64_t number_for(std::string_view name) { return marblehub::policy::name_hash(name) | 1; }
 
 core::LoadReport report_in(std::string_view line) {
   core::LoadReport report;
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -94,7 +94,7 @@
   if (std::string conflict = ids_.conflict(next.ids); !conflict.empty()) throw std::runtime_error(conflict);
   std::vector<std::string> names;
   for (const auto& [name, worker] : dispatcher_.workers())
-    if (worker.health != lemonspread::Health::deleted) names.push_back(name);
+    if (worker.health != marblehub::policy::Health::deleted) names.push_back(name);
   if (auto found = server_id_conflicts(next, names); !found.empty()) throw std::runtime_error(found[0]);
   std::vector<std::string> later = needs_restart(settings_, next);
   // From here on nothing fails.
--- a/src/quic/worker_table.cpp
+++ b/src/quic/worker_table.cpp
@@ -70,7 +70,7 @@
       worker->address = address;
       worker->closed = false;
     }
-    worker->gone = listed.health == lemonspread::Health::deleted;
+    worker->gone = listed.health == marblehub::policy::Health::deleted;
   }
   by_id_.clear();
   // Those that are there first: a gone one must not take the id of its replacement.
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -12,7 +12,7 @@
 constexpr core::Time kSaid = 10'000'000;  // between two lines of the log about its state
 
 Fleet fleet_of(const config::Startup& startup) {
-  const lemonspread::Settings& s = startup.settings;
+  const marblehub::policy::Settings& s = startup.settings;
   return {s.balancers, s.me, s.cold_share, s.warm_within_us, startup.seed ^ kOwnSeed};
 }
 
@@ -100,7 +100,7 @@
   std::unordered_set<std::string> named;
   for (const config::WorkerEntry& entry : list.workers) {
     planner_.member({entry.backend.address, entry.backend.scale, entry.backend.start_time,
-                     entry.backend.health == lemonspread::Health::serving});
+                     entry.backend.health == marblehub::policy::Health::serving});
     named.insert(entry.backend.address);
   }
   if (list.snapshot) planner_.only(named);
--- a/src/rebalance/planner.cpp
+++ b/src/rebalance/planner.cpp
@@ -141,7 +141,7 @@
 // ---- How the fleet looks -----------------------------------------------------------------------------
 
 double Planner::warmth(const Worker& w, Time now) const {
-  return lemonspread::warm_part(w.start_time, now, fleet_.cold_share, fleet_.warm_within);
+  return marblehub::policy::warm_part(w.start_time, now, fleet_.cold_share, fleet_.warm_within);
 }
 
 // Loads are over what a worker can do while it warms; sizes are in what it can do then.
--- a/src/rebalance/planner.h
+++ b/src/rebalance/planner.h
@@ -166,7 +166,7 @@
   std::deque<Time> moved_;    // by this planner, within the last minute
   std::deque<Time> set_ups_;  // at this balancer, within the last minute
   std::deque<Time> to_come_;  // set-ups that moves will make, within the last minute
-  lemonspread::Faded refused_, asked_;
+  marblehub::policy::Faded refused_, asked_;
   std::vector<std::uint64_t> outside_;  // and some that have ended
   double outside_credit_ = 0;
   std::mt19937_64 outside_random_;  // of its own: where no routes are, moves for balance are as without
--- a/src/rebalance/settings.h
+++ b/src/rebalance/settings.h
@@ -2,11 +2,11 @@
 #pragma once
 
 #include "config/options.h"
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::rebalance {
 
-using lemonspread::Time;
+using marblehub::policy::Time;
 
 struct Settings {
   bool enabled = false;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,8 +1,8 @@
 #include <cmath>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
-namespace lemonspread {
+namespace marblehub::policy {
 
 std::string settings_error(const Settings& s) {
   auto sound = [](double value) { return std::isfinite(value) && value >= 0; };
@@ -25,4 +25,4 @@
   return "";
 }
 
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/src/state.h
+++ b/src/state.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "fading.h"
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
-namespace lemonspread {
+namespace marblehub::policy {
 
 // The relay's own chance.
 struct Dice {
@@ -200,4 +200,4 @@
   return c;
 }
 
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -4,9 +4,9 @@
 #include <map>
 #include <set>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
-namespace lemonspread {
+namespace marblehub::policy {
 namespace {
 
 constexpr Time kMs = 1000, kSec = 1'000'000;
@@ -887,4 +887,4 @@
 }
 
 }  // namespace
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -7,10 +7,10 @@
 #include <set>
 #include <sstream>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 #include "wire.h"
 
-namespace lemonspread {
+namespace marblehub::policy {
 namespace {
 
 struct Tried {
@@ -283,7 +283,7 @@
       "tick 1001000\nwork_item 3 77 1 - - - 12000 f 1800000\ngo\ntick 1002000\nfirst 3 77 a:70 0 900\ngo\n"
       "tick 1003000\ninterim 3 77 0 2 a:70 12.5\nping_result 3 a:70 5 S x0:1\ngo\n"
       "tick 1004000\nresult 3 77 0 1 a:70 3000 S x0:0.4\nhandover 3 5 f - - 100 9000 - 1 a:70\ngo\n";
-  wire::Adapter whole;
+  adapter::Adapter whole;
   std::istringstream whole_in(good);
   std::ostringstream whole_out;
   ASSERT_NO_THROW(whole.serve(whole_in, whole_out));
@@ -310,8 +310,8 @@
     std::istringstream in(text);
     std::ostringstream out;
     try {
-      wire::Adapter().serve(in, out);
-    } catch (const wire::WireError& error) {
+      adapter::Adapter().serve(in, out);
+    } catch (const adapter::WireError& error) {
       ++refused;
       EXPECT_EQ(std::string(error.what()).rfind("line ", 0), 0u) << error.what();
     }
@@ -320,4 +320,4 @@
 }
 
 }  // namespace
-}  // namespace lemonspread
+}  // namespace marblehub::policy
--- a/tests/quic_parts_test.cpp
+++ b/tests/quic_parts_test.cpp
@@ -442,7 +442,7 @@
   QuicSettings settings;
   settings.ids = {{0, 4, 6, ""}};
   IdCodec codec(settings.ids);
-  using lemonspread::Health;
+  using marblehub::policy::Health;
   std::unordered_map<std::string, core::Dispatcher::Worker> list;
   list["g-1"] = {"127.0.0.1:1001", Health::serving, 0};
   list["g-2"] = {"127.0.0.1:1002", Health::draining, 0};
--- a/tests/settings/drawn.h
+++ b/tests/settings/drawn.h
@@ -7,11 +7,11 @@
 #include <ostream>
 #include <string>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::settings_play {
 
-using namespace lemonspread;
+using namespace marblehub::policy;
 
 struct Drawn {
   // Told to the module
--- a/tests/support/module_bench.h
+++ b/tests/support/module_bench.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "lemonspread/lemonspread.h"
+#include "marblehub/policy.h"
 
 namespace marblehub::test {
 
-using namespace lemonspread;
+using namespace marblehub::policy;
 
 struct Bench {
   explicit Bench(const Settings& s = settings(), std::uint64_t seed = 7) : balancer(s, seed, 0) {}
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -4,7 +4,7 @@
 
 #include <sstream>
 
-namespace lemonspread::wire {
+namespace marblehub::policy::adapter {
 namespace {
 
 std::string options() {
@@ -137,4 +137,4 @@
 }
 
 }  // namespace
-}  // namespace lemonspread::wire
+}  // namespace marblehub::policy::adapter
