--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -338,8 +338,8 @@
   for (const Action& action : actions_) {
     std::visit(
         Overloaded{[&](const Submit& a) { put("submit_to", a.id, std::string_view(a.backend), a.not_past); },
-                   [&](const Decline& a) { put("decline", a.id, a.pause); },
-                   [&](const Surrender& a) { put("surrender", a.id); },
+                   [&](const Reject& a) { put("decline", a.id, a.pause); },
+                   [&](const Fail& a) { put("surrender", a.id); },
                    [&](const Redirect& a) { put("redirect", a.id); },
                    [&](const Probe& a) { put("check", std::string_view(a.backend)); },
                    [&](const Track&) { put("track", 1); },
--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -12,7 +12,7 @@
   Settings s;
   s.zone = "a";
   s.max_attempts = 4;
-  s.max_pause_us = 1'000'000;
+  s.max_retry_after_us = 1'000'000;
   s.groups = state.range(1) != 0;
   RequestClass c;
   c.name = "telemetry", c.slo_us = 500'000, c.message_aim_us = 150'000, c.stream = true;
--- a/conformance/suites.cpp
+++ b/conformance/suites.cpp
@@ -523,7 +523,7 @@
                good && c.retried());
   report.check("PROTOCOL, attempts", "on the same call", stage.counter("marblehub_calls_total") == 1);
   report.check("PROTOCOL, attempts", "at the worker that asked",
-               stage.counter("marblehub_delegations_total") == 1);
+               stage.counter("marblehub_attempts_total") == 1);
   // From a rate on.
   options = usual();
   options.quic = {{"retry", {{"mode", "from_rate"}, {"from_rate", 50}}}};
@@ -715,7 +715,7 @@
     stage.run(3000, [&] { return stage.all_up(); });
     report.check("RFC 9000, 20.1", "so does one that it closes with CONNECTION_REFUSED", stage.all_up());
     report.check("PROTOCOL, outcomes", "and the module hears that the worker was full",
-                 stage.counter("marblehub_delegation_results_total{outcome=\"full\"}") > 0);
+                 stage.counter("marblehub_attempt_results_total{outcome=\"full\"}") > 0);
   }
   for (bool proxy : {true, false}) {
     std::string way = proxy ? " (proxy-v2)" : " (socket)";
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -58,8 +58,8 @@
   int max_attempts = 1;
   bool may_probe = true;
   bool told_load = true;  // by probes or answers; else a probe says only that a backend lives
-  bool may_decline_with_pause = true;
-  Time max_pause_us = 0;  // the longest pause that a client honours
+  bool may_send_retry_after = true;
+  Time max_retry_after_us = 0;  // the longest pause that a client honours
   Time connect_timeout_us = 250000;
   Time stop_sending_within_us = 0;  // of the news that a backend drains or is gone; 0: at once
 
@@ -165,11 +165,11 @@
   std::string backend;
   Time not_past = 0;
 };
-struct Decline {  // final answer: refused, trying again is harmless; pause 0: no hint
+struct Reject {  // final answer: refused, trying again is harmless; pause 0: no hint
   std::uint64_t id = 0;
   Time pause = 0;
 };
-struct Surrender {  // final answer: failed, promising nothing
+struct Fail {  // final answer: failed, promising nothing
   std::uint64_t id = 0;
 };
 struct Redirect {  // end an open connection politely; its client comes back
@@ -184,7 +184,7 @@
   std::uint64_t cookie = 0;
 };
 
-using Action = std::variant<Submit, Decline, Surrender, Redirect, Probe, Track, SetTimer>;
+using Action = std::variant<Submit, Reject, Fail, Redirect, Probe, Track, SetTimer>;
 
 // ---- The balancer
 // ------------------------------------------------------------------------------------------
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -17,8 +17,8 @@
   s.max_attempts = options.number<int>("limits.max_attempts", 1);
   s.may_probe = options.flag("limits.probes");
   if (const std::string* how = options.find("report.how")) s.told_load = *how != "silent" && *how != "none";
-  s.may_decline_with_pause = options.flag("limits.retry_after");
-  s.max_pause_us = options.number<Time>("limits.max_retry_after_us", 0);
+  s.may_send_retry_after = options.flag("limits.retry_after");
+  s.max_retry_after_us = options.number<Time>("limits.max_retry_after_us", 0);
   s.connect_timeout_us = options.number<Time>("limits.connect_timeout_us", 0);
   s.stop_sending_within_us = options.number_or<Time>("invariants.stop_sending_within_us", 0, 0);
   s.cold_share = options.number<double>("invariants.cold_share", 0);
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -87,6 +87,16 @@
     }
     refuse(key, "one of " + names);
   }
+  // The key under which a renamed setting is given: `current`, or `former`, its name in files of older
+  // versions, which is then among former_keys(). Throws DecodeError where both are given.
+  std::string_view renamed(std::string_view current, std::string_view former) const {
+    if (!find(former)) return current;
+    if (find(current)) refuse(former, "only " + std::string(current) + ", its present name");
+    former_keys_.emplace(former, current);
+    return former;
+  }
+  // The former names that were read, each with the name to use in its place.
+  const Values& former_keys() const { return former_keys_; }
   const Values& values() const { return values_; }
   // Keys that nobody has asked for: a misspelt one is among them.
   std::vector<std::string> unread() const {
@@ -107,6 +117,7 @@
   const Options* whole_ = nullptr;
   std::string prefix_;
   mutable std::set<std::string> read_;
+  mutable Values former_keys_;
 };
 
 marblehub::policy::Settings settings_from(const Options& options);
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -48,7 +48,7 @@
       left_waiting_(
           counters.counter("marblehub_clients_left_total", "Clients that left before they were answered")),
       late_(counters.counter("marblehub_deadline_answers_total", "Calls answered only at their deadline")),
-      delegations_(counters.counter("marblehub_delegations_total", "Delegations begun")),
+      attempts_begun_(counters.counter("marblehub_attempts_total", "Attempts begun")),
       moves_(counters.counter("marblehub_moves_total", "Clients told to move")),
       silent_moves_(
           counters.counter("marblehub_silent_moves_total", "Clients moved because their worker fell silent")),
@@ -58,14 +58,13 @@
       lists_(counters.counter("marblehub_registry_answers_total", "Lists and changes told by the registry")),
       lists_refused_(counters.counter("marblehub_registry_failures_total", "Registry calls that failed")),
       held_back_(counters.counter("marblehub_drain_stops_total",
-                                  "Delegations stopped because their worker had begun to leave")),
+                                  "Attempts stopped because their worker had begun to leave")),
       standing_gauge_(counters.gauge("marblehub_connections", "Connections that stand")),
       waiting_gauge_(counters.gauge("marblehub_calls_waiting", "Calls not yet answered")),
       down_gauge_(counters.gauge("marblehub_workers_down", "Listed workers marked down")) {
   for (const char* name : kOutcomeNames)
-    outcomes_.push_back(&counters.counter("marblehub_delegation_results_total",
-                                          "How delegations ended, standing ones included",
-                                          {{"outcome", name}}));
+    outcomes_.push_back(&counters.counter("marblehub_attempt_results_total",
+                                          "How attempts ended, standing ones included", {{"outcome", name}}));
   for (const char* name : kOutcomeNames)
     probe_outcomes_.push_back(
         &counters.counter("marblehub_probe_results_total", "How probes ended", {{"outcome", name}}));
@@ -123,14 +122,14 @@
 }
 
 Exchange& Dispatcher::adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
-                            std::unique_ptr<Delegation> delegation, bool past_known) {
+                            std::unique_ptr<Attempt> attempt, bool past_known) {
   Exchange& exchange = enter(std::move(call), client, workers);
   adopted_.add();
   exchange.state_ = Exchange::State::standing;
   exchange.worker_ = worker;
   exchange.sent_at_ = now();
   exchange.attempts_ = 1;  // to the module it is the attempt that stood at the start
-  exchange.delegation_ = std::move(delegation);
+  exchange.attempt_ = std::move(attempt);
   if (watch_) watch_->stands(exchange.id_, worker, exchange.call(), !past_known);
   tell(HandoverEvent{request_of(exchange), worker});
   return exchange;
@@ -139,17 +138,17 @@
 // A connection from before the start goes back to its own worker, whatever the module would choose.
 void Dispatcher::hand_over(Exchange& exchange) {
   exchange.handed_tries_ += 1;
-  delegate(exchange, exchange.call().handed_to, 10 * kSecond);
+  begin_attempt(exchange, exchange.call().handed_to, 10 * kSecond);
 }
 
 void Dispatcher::handed_again(Exchange& exchange) {
-  if (exchange.state_ != Exchange::State::waiting || exchange.delegation_) return;
+  if (exchange.state_ != Exchange::State::waiting || exchange.attempt_) return;
   if (exchange.handed_tries_ < kHandoverTries) return hand_over(exchange);
   answer(exchange, Answer::failed, 0, "");
   close(exchange);
 }
 
-void Dispatcher::delegate(Exchange& exchange, const std::string& worker, Time wait) {
+void Dispatcher::begin_attempt(Exchange& exchange, const std::string& worker, Time wait) {
   exchange.worker_ = worker;
   exchange.sent_at_ = now();
   int attempt = exchange.attempts_++;
@@ -157,16 +156,16 @@
   exchange.withheld_ = !exchange.client_waits();
   if (exchange.withheld_) return;  // its end is read in this turn, and ends the call
   log::debug("call {} sent to {}", exchange.id_, worker);
-  delegations_.add();
+  attempts_begun_.add();
   timers_.push({now() + wait, Due::attempt, exchange.id_, attempt});
   exchange.address_ = address_of(worker);
-  exchange.delegation_ = exchange.workers_.delegate(exchange, worker, exchange.address_, wait);
+  exchange.attempt_ = exchange.workers_.begin_attempt(exchange, worker, exchange.address_, wait);
 }
 
 void Dispatcher::submit(const Submit& action) {
   Exchange* exchange = find(action.id);
-  if (!exchange || exchange->state_ != Exchange::State::waiting || exchange->delegation_) return;
-  delegate(*exchange, action.backend, std::max<Time>(kMillisecond, action.not_past - now()));
+  if (!exchange || exchange->state_ != Exchange::State::waiting || exchange->attempt_) return;
+  begin_attempt(*exchange, action.backend, std::max<Time>(kMillisecond, action.not_past - now()));
 }
 
 // A connect may take a while: by then the worker may have been told to drain. Nothing new is sent to it.
@@ -264,7 +263,7 @@
 }
 
 void Dispatcher::answer_and_close(Exchange& exchange, Answer kind, Time pause) {
-  bool out = exchange.delegation_ != nullptr || exchange.withheld_;
+  bool out = exchange.attempt_ != nullptr || exchange.withheld_;
   ResultEvent event = result_of(exchange, Outcome::cancelled, {}, true);
   answer(exchange, kind, pause, "");
   close(exchange);
@@ -463,11 +462,11 @@
 void Dispatcher::act(const Action& action) {
   if (auto* a = std::get_if<Submit>(&action)) {
     submit(*a);
-  } else if (auto* a = std::get_if<Decline>(&action)) {
+  } else if (auto* a = std::get_if<Reject>(&action)) {
     Exchange* exchange = find(a->id);
     if (exchange && exchange->state_ == Exchange::State::waiting)
       answer_and_close(*exchange, Answer::overload, a->pause);
-  } else if (auto* a = std::get_if<Surrender>(&action)) {
+  } else if (auto* a = std::get_if<Fail>(&action)) {
     Exchange* exchange = find(a->id);
     if (exchange && exchange->state_ == Exchange::State::waiting)
       answer_and_close(*exchange, Answer::failed, 0);
@@ -512,9 +511,9 @@
   if (exchange->state_ != Exchange::State::waiting) return;
   if (timer.due == Due::again) return handed_again(*exchange);
   if (timer.due == Due::attempt) {
-    if (!exchange->delegation_ || exchange->attempts_ - 1 != timer.attempt) return;
-    bool tells = exchange->delegation_->silence_tells();
-    exchange->drop_delegation();  // first: no two delegations may be out at once
+    if (!exchange->attempt_ || exchange->attempts_ - 1 != timer.attempt) return;
+    bool tells = exchange->attempt_->silence_tells();
+    exchange->drop_attempt();  // first: no two attempts may be out at once
     attempt_over(*exchange, tells ? Outcome::timeout : Outcome::not_sent, {}, false);
     return;
   }
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -33,7 +33,7 @@
   // A connection that stands already, at this worker: another balancer set it up, and it has come here. Its
   // past, how long it has stood and whether its client was moved, is known only where the call says it all.
   Exchange& adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
-                  std::unique_ptr<Delegation> delegation, bool past_known = false);
+                  std::unique_ptr<Attempt> attempt, bool past_known = false);
   void probe_result(const std::string& worker, Time rtt, Outcome outcome, const LoadReport& report);
   void list_told(const config::WorkerList& list);
   void list_refused();
@@ -55,7 +55,9 @@
   void advance();
   // Before each wait for the fronts' sockets, when all that was found by the last one has been handled.
   void waits() { waits_since_ = now(); }
-  void reap() { ended_.clear(); }  // what is over is freed here only, when no front is inside a call of it
+  void free_ended() {
+    ended_.clear();
+  }  // what is over is freed here only, when no front is inside a call of it
 
   // ---- A planned restart: every standing connection is told to move within `span`.
   void retire(Time span);
@@ -108,7 +110,7 @@
   void pump();
   void act(const marblehub::policy::Action& action);
   void submit(const marblehub::policy::Submit& action);
-  void delegate(Exchange& exchange, const std::string& worker, Time wait);
+  void begin_attempt(Exchange& exchange, const std::string& worker, Time wait);
   void hand_over(Exchange& exchange);
   void handed_again(Exchange& exchange);
   void expire(const Timer& timer);
@@ -149,9 +151,9 @@
   bool look_put_off_ = false;  // for the stall found at the last look
   Time message_aim_;
 
-  Counter &taken_, &adopted_, &served_, &overloads_, &failed_, &left_waiting_, &late_, &delegations_, &moves_,
-      &silent_moves_, &slow_notes_, &probes_, &lists_, &lists_refused_, &held_back_, &standing_gauge_,
-      &waiting_gauge_, &down_gauge_;
+  Counter &taken_, &adopted_, &served_, &overloads_, &failed_, &left_waiting_, &late_, &attempts_begun_,
+      &moves_, &silent_moves_, &slow_notes_, &probes_, &lists_, &lists_refused_, &held_back_,
+      &standing_gauge_, &waiting_gauge_, &down_gauge_;
   std::vector<Counter*> outcomes_, probe_outcomes_;
 };
 
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -20,11 +20,11 @@
       deadline_(now + call_.expires_in) {}
 
 void Exchange::client_sent(const Piece& piece) {
-  if (state_ != State::standing || !delegation_) return;
+  if (state_ != State::standing || !attempt_) return;
   if (unanswered_.empty() && piece.messages > 0) dispatcher_.has_open_business(*this);
   for (int i = 0; i < piece.messages && unanswered_.size() < kMessagesTimed; ++i)
     unanswered_.push_back(dispatcher_.now());
-  delegation_->deliver(piece.bytes);
+  attempt_->deliver(piece.bytes);
 }
 
 void Exchange::client_left(Ending ending) {
@@ -32,15 +32,15 @@
   if (state_ == State::over) return;
   bool stood = state_ == State::standing;
   state_ = State::over;
-  if (delegation_) {
-    delegation_->finish(ending);
-    drop_delegation();
+  if (attempt_) {
+    attempt_->finish(ending);
+    drop_attempt();
   }
   dispatcher_.left(*this, stood);
 }
 
 void Exchange::client_full(bool on) {
-  if (delegation_) delegation_->hold(on);
+  if (attempt_) attempt_->hold(on);
 }
 
 bool Exchange::may_begin() const { return dispatcher_.may_begin(worker_, address_); }
@@ -76,7 +76,7 @@
 
 void Exchange::worker_ended(Outcome outcome, Ending ending, const LoadReport& report,
                             std::string_view words) {
-  drop_delegation();
+  drop_attempt();
   if (state_ == State::over) return;
   if (state_ == State::standing) {
     state_ = State::over;
@@ -85,7 +85,7 @@
     dispatcher_.attempt_over(*this, outcome, report, true);
     return;
   }
-  // A call that its worker has served to the end at once needs no second delegation.
+  // A call that its worker has served to the end at once needs no second attempt.
   bool terminal = outcome == Outcome::served;
   if (terminal) dispatcher_.answer(*this, Dispatcher::Answer::failed, 0, words);
   dispatcher_.attempt_over(*this, outcome, report, terminal);
@@ -94,7 +94,7 @@
 void Exchange::answer_overload(Time pause) {
   if (state_ != State::waiting) return;  // guards against a second answer
   state_ = State::over;
-  drop_delegation();
+  drop_attempt();
   if (client_) client_->overload_reply(pause);
   client_ = nullptr;
 }
@@ -102,7 +102,7 @@
 void Exchange::answer_failed(std::string_view words) {
   if (state_ != State::waiting) return;
   state_ = State::over;
-  drop_delegation();
+  drop_attempt();
   if (client_) client_->failed(words);
   client_ = nullptr;
 }
@@ -127,8 +127,8 @@
   state_ = State::over;
   if (client_) client_->redirect();
   client_ = nullptr;
-  if (delegation_) delegation_->finish(Ending::finished);
-  drop_delegation();
+  if (attempt_) attempt_->finish(Ending::finished);
+  drop_attempt();
   dispatcher_.redirected(*this);
 }
 
--- a/src/core/exchange.h
+++ b/src/core/exchange.h
@@ -1,5 +1,5 @@
 // The one object where the client's side and the worker's side of a call meet. It sees to it that the client
-// gets exactly one answer and that no two delegations are out at once.
+// gets exactly one answer and that no two attempts are out at once.
 #pragma once
 
 #include <memory>
@@ -56,20 +56,20 @@
   void redirect_now();
   bool rest_overdue() const;           // of the line that a move waits for
   bool stopped_inside_a_line() const;  // whether or not it is to move
-  void drop_delegation() { delegation_.reset(); }
+  void drop_attempt() { attempt_.reset(); }
 
   Dispatcher& dispatcher_;
   const std::uint64_t id_;
   const Call call_;
   ClientSide* client_;  // none once it has left or the exchange is over
   WorkerSide& workers_;
-  std::unique_ptr<Delegation> delegation_;
+  std::unique_ptr<Attempt> attempt_;
   State state_ = State::waiting;
   int attempts_ = 0;
   int handed_tries_ = 0;
   bool withheld_ = false;  // the module's latest attempt was not begun: the client has left, and is read soon
   std::shared_ptr<const std::set<std::string>> only_;  // workers it may use; none: any
-  std::string worker_, address_;                       // of the latest delegation
+  std::string worker_, address_;                       // of the latest attempt
   Time sent_at_ = 0, deadline_;
   bool moving_ = false;  // to be told to move as soon as the stream stands between two messages
   bool client_between_ = true;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -52,10 +52,10 @@
   virtual void ended(Ending ending) = 0;  // the worker's side has ended
 };
 
-// One delegation: the call is out at one worker. Destroying it gives the delegation up.
-class Delegation {
+// One attempt: the call is out at one worker. Destroying it gives the attempt up.
+class Attempt {
  public:
-  virtual ~Delegation() = default;
+  virtual ~Attempt() = default;
   virtual void deliver(std::string_view bytes) = 0;
   virtual void hold(bool on) = 0;
   virtual void finish(Ending ending) = 0;  // the client's side has ended; destroyed right after
@@ -68,9 +68,9 @@
 class WorkerSide {
  public:
   virtual ~WorkerSide() = default;
-  // Begins a delegation. What comes of it is told to the exchange, never from within this call.
-  virtual std::unique_ptr<Delegation> delegate(Exchange& exchange, const std::string& worker,
-                                               const std::string& address, Time wait) = 0;
+  // Begins an attempt. What comes of it is told to the exchange, never from within this call.
+  virtual std::unique_ptr<Attempt> begin_attempt(Exchange& exchange, const std::string& worker,
+                                                 const std::string& address, Time wait) = 0;
 };
 
 class Prober {
--- a/src/fading.h
+++ b/src/decay.h
@@ -10,7 +10,7 @@
 namespace marblehub::policy {
 
 // A figure that fades with time, to 1/e over its memory.
-struct Faded {
+struct DecayingValue {
   double value = 0;
   Time since = 0;
 
@@ -25,7 +25,7 @@
 
 // The part of its capacity that a process surely has: from the cold share at its start evenly to the whole.
 // `started` 0: it is warm since long ago.
-inline double warm_part(Time started, Time now, double cold_share, Time warm_within) {
+inline double slow_start_factor(Time started, Time now, double cold_share, Time warm_within) {
   if (started == 0 || warm_within <= 0) return 1;
   double part = static_cast<double>(now - started) / static_cast<double>(warm_within);
   return part >= 1 ? 1 : cold_share + (1 - cold_share) * std::max(0.0, part);
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -84,7 +84,7 @@
   double usual_load = 0;  // mean load hinted or noted, to count connections in usual ones
   Held held;
   double requests_seen = 0, probes_sent = 0;
-  Faded asked;                  // requests, those that come back too
+  DecayingValue asked;          // requests, those that come back too
   SetupsOfSets setups;          // attempts that are out and do not stand yet
   double admitted = 1;          // the part of the new connections that is let in
   double share_of_one = 0;      // what a usual connection of each relay adds to the load of a unit of size
@@ -146,7 +146,7 @@
       b.listed_start = entry.start_time;
       b.chill(entry.start_time, false);
       b.up();
-      b.evidence = b.report = Faded();
+      b.evidence = b.report = DecayingValue();
     }
   }
 
@@ -233,7 +233,7 @@
     if (event.outcome == Outcome::not_sent) return suspect(b);  // it never left here: no word on the backend
     if (event.outcome != Outcome::served) return missed(b);
     // What was said of it before is over; it may have restarted: the list will tell.
-    if (b.down) b.evidence = b.report = Faded(), b.chill(now, true);
+    if (b.down) b.evidence = b.report = DecayingValue(), b.chill(now, true);
     b.up();
     b.timed(static_cast<double>(event.rtt) / kMillisecond, kWindow);
     note_report(b, event.report);
@@ -299,7 +299,7 @@
 
   // The backends that a group keeps to, in an order that its number and their names give, the same at all
   // relays; one that is full, late, down or cold gives way to the next. As wide as its share of what this
-  // relay holds, of which one says little: many relays' wide homes scatter it. `fair`: held on each.
+  // relay holds, of which one says little: many relays with wide sets scatter it. `fair`: held on each.
   std::vector<char> home(const Request& r, const std::vector<int>& may, double usual, double fair) {
     std::vector<char> in(may.size(), r.group == 0);
     if (r.group == 0) return in;
@@ -385,7 +385,7 @@
   // ---- Cold ramp ---------------------------------------------------------------------------------
 
   double warmth(const Backend& b) const {
-    return warm_part(b.cold_since, now, settings.cold_share, settings.warm_within_us);
+    return slow_start_factor(b.cold_since, now, settings.cold_share, settings.warm_within_us);
   }
 
   bool open(const Backend& b) const { return warmth(b) >= 1 || b.drawn; }
@@ -432,7 +432,7 @@
     waiting.insert(event.id);
     Request& r = admit(event);
     if (uniform() < admitted) return place(event.id, r);
-    decline(event.id, r, settings.max_pause_us / 2 + up_to(settings.max_pause_us / 2));
+    reject(event.id, r, settings.max_retry_after_us / 2 + up_to(settings.max_retry_after_us / 2));
   }
 
   void on(const HandoverEvent& event) {
@@ -472,8 +472,8 @@
     if (begun.at_limit(now, c.slo_us)) return;  // held: the sweep tries again
     int i = pick(r);
     if (i < 0) return;
-    Time patience = std::min(left, std::max(c.slo_us, left / tries_left));
-    if (tries_left == 1 || left - patience < settings.connect_timeout_us) patience = left;
+    Time attempt_timeout = std::min(left, std::max(c.slo_us, left / tries_left));
+    if (tries_left == 1 || left - attempt_timeout < settings.connect_timeout_us) attempt_timeout = left;
     Backend& b = backends[i];
     if (look_first(b, r)) return;
     if (b.report_at >= began)  // until the next; of many relays few send to the same one meanwhile
@@ -486,7 +486,7 @@
     begun.beginning += c.stream;
     r.sent_at = now;
     r.tried.push_back(i);
-    actions->push_back(Submit{id, b.address, now + patience});
+    actions->push_back(Submit{id, b.address, now + attempt_timeout});
     if (!c.stream) b.count(r, held);  // no word comes when it is accepted: it counts from here
   }
 
@@ -496,13 +496,13 @@
     bool may_have_run = r.ran_at >= 0 || r.out;
     bool harmless = !may_have_run || c.repeat == Repeat::safe ||
                     (c.repeat == Repeat::keyed && c.dedup_scope == DedupScope::all);
-    if (harmless) return decline(id, r, up_to(settings.max_pause_us / 4));
-    actions->push_back(Surrender{id});
+    if (harmless) return reject(id, r, up_to(settings.max_retry_after_us / 4));
+    actions->push_back(Fail{id});
     end(id, r);
   }
 
-  void decline(std::uint64_t id, Request& r, Time pause) {
-    actions->push_back(Decline{id, settings.may_decline_with_pause ? pause : 0});
+  void reject(std::uint64_t id, Request& r, Time pause) {
+    actions->push_back(Reject{id, settings.may_send_retry_after ? pause : 0});
     end(id, r);
   }
 
--- a/src/fleet/net/peers.cpp
+++ b/src/fleet/net/peers.cpp
@@ -75,7 +75,7 @@
     auto it = owner.incoming_.find(this);
     std::shared_ptr<In> self = std::move(it->second);
     owner.incoming_.erase(it);
-    owner.loop_.bury(std::move(self));
+    owner.loop_.defer_release(std::move(self));
   }
   Peers& owner;
   std::unique_ptr<net::Stream> stream;
--- a/src/fleet/record/election.cpp
+++ b/src/fleet/record/election.cpp
@@ -8,7 +8,8 @@
 namespace marblehub::fleet {
 
 void Record::State::wait_anew(Time now) {
-  due_campaign = now + patience + static_cast<Time>(random() % static_cast<std::uint64_t>(patience));
+  due_campaign =
+      now + election_timeout + static_cast<Time>(random() % static_cast<std::uint64_t>(election_timeout));
 }
 
 bool Record::State::can_vote() const {
@@ -76,7 +77,8 @@
   if (!message.flag) known_term[from] = std::max(known_term[from], message.term);
   if (!can_vote()) return;
   // Who hears a leader, or may have before it restarted, takes part in no election: leases rest on it.
-  const bool led = role == Role::leader ? now - contact_of_majority(now) < patience : now - heard < patience;
+  const bool led = role == Role::leader ? now - contact_of_majority(now) < election_timeout
+                                        : now - heard < election_timeout;
   if (led) return;
   Message answer;
   answer.kind = kAnswer;
@@ -123,7 +125,7 @@
   peers.clear();
   for (const std::string& voter : voters()) {
     peers[voter].next = log.last() + 1;
-    peers[voter].contact = now - patience;  // time to answer, and no lease before that
+    peers[voter].contact = now - election_timeout;  // time to answer, and no lease before that
   }
   logged = ledger.last;
   for (std::uint64_t index = ledger.applied + 1; index <= log.last(); ++index)
@@ -156,8 +158,8 @@
   back.index = known[from].index;
   back.index_term = known[from].term;
   // What was agreed with that voter's word is known to the leader, not to those who follow it.
-  const bool sure = ledger.applied >= term_start && now - contact_of_majority(now) < patience;
-  back.flag = role == Role::leader ? !sure : !leader.empty() && now - heard < 2 * patience;
+  const bool sure = ledger.applied >= term_start && now - contact_of_majority(now) < election_timeout;
+  back.flag = role == Role::leader ? !sure : !leader.empty() && now - heard < 2 * election_timeout;
   if (role == Role::leader) back.total = ledger.applied;
   send(from, back, out);
   if (!message.flag || role != Role::leader || ledger.applied < term_start) return;
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -22,7 +22,7 @@
     : settings(settings),
       incarnation(incarnation),
       disk(disk),
-      patience(std::max(settings.lease / 2, settings.clock_bound * 3)),
+      election_timeout(std::max(settings.lease / 2, settings.clock_bound * 3)),
       pulse(std::max<Time>(settings.lease / 12, kMillisecond)),
       random(seed),
       log(disk),
@@ -120,7 +120,7 @@
         state.wait_anew(now);
     }
     // No leader speaks to it: it may have been taken out of the voters without hearing of it.
-    if (now - state.heard > 4 * state.patience && state.due_learn <= now) state.learn(now, out);
+    if (now - state.heard > 4 * state.election_timeout && state.due_learn <= now) state.learn(now, out);
   } else {
     if (state.role != Role::observer) state.follow(now);
     if (state.due_learn <= now) state.learn(now, out);
@@ -155,8 +155,8 @@
 bool Record::majority(Time now) const {
   const State& state = *state_;
   if (state.voters().empty()) return false;
-  if (state.role == Role::leader) return now - state.contact_of_majority(now) < 2 * state.patience;
-  return !state.leader.empty() && state.beat_term != 0 && now - state.beat_heard < 2 * state.patience;
+  if (state.role == Role::leader) return now - state.contact_of_majority(now) < 2 * state.election_timeout;
+  return !state.leader.empty() && state.beat_term != 0 && now - state.beat_heard < 2 * state.election_timeout;
 }
 bool Record::may_vote() const { return state_->can_vote(); }
 
--- a/src/fleet/record/replication.cpp
+++ b/src/fleet/record/replication.cpp
@@ -34,7 +34,7 @@
 
 void Record::State::beat(Time now, Outbox& out) {
   due_beat = now + pulse;
-  if (voters().size() > 1 && now - contact_of_majority(now) > 2 * patience) {
+  if (voters().size() > 1 && now - contact_of_majority(now) > 2 * election_timeout) {
     leader.clear();  // others may have chosen already
     return follow(now);
   }
@@ -52,7 +52,7 @@
   Peer& peer = found->second;
   if (added) {
     peer.next = log.last() + 1;
-    peer.contact = now - patience;
+    peer.contact = now - election_timeout;
   }
   Message append;
   append.kind = kAppend;
@@ -195,7 +195,8 @@
 // was sent within the election time-out, during which it votes for nobody else. What is in the log and not
 // yet agreed binds already: no lease on the version before reaches past its moment.
 void Record::State::renew_grant(Time now) {
-  if (ledger.applied < term_start || now - contact_of_majority(now) >= patience - settings.clock_bound)
+  if (ledger.applied < term_start ||
+      now - contact_of_majority(now) >= election_timeout - settings.clock_bound)
     return;
   const RouteState& routes = ledger.routes;
   if (routes.next == 0 && now < routes.moment + settings.clock_bound) return;
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -21,7 +21,7 @@
   kLearn,      // "give me what follows index, or is newer than term and beat": at first, where something is
                // missing, and each 2 s of 50 ms beats; a learner not heard for 2.5 s is forgotten
   kLearnt,     // committed entries, commit, lease; pushed whenever there is news, and a grant each 5 beats
-  kElsewhere,  // no room, or nothing new here: names of those to try
+  kElsewhere,  // full, or nothing new here: names of those to try
   kHello,      // a voter after its start, or outside: index and index_term it has, flag: outside
   kHelloBack,  // what its asker is known to have had: term, index, index_term; flag: ask the leader, not me;
                // total: from the leader, what it has applied
@@ -104,7 +104,7 @@
   const Settings settings;
   const std::uint64_t incarnation;
   Disk* const disk;
-  const Time patience, pulse;  // election time-out at least; between heartbeats
+  const Time election_timeout, pulse;  // election time-out at least; between heartbeats
   std::mt19937_64 random;
   Log log;
   Ledger ledger;
--- a/src/fleet/wallet/slices.cpp
+++ b/src/fleet/wallet/slices.cpp
@@ -166,7 +166,7 @@
 void Slices::close_what_ended(Time now, Till& till, std::int64_t held_back_most) {
   std::size_t open = 0;
   for (const Held& held : till.held) open += held.unspent(now) > 0;
-  // No further slice may be had that holds the call: what is too small for it makes room.
+  // No further slice may be had that holds the call: what is too small for it is returned.
   bool crowded = till.hungry > held_back_most - held_by(till);
   for (Held& held : till.held) {
     if (held.stage != Stage::open) continue;
@@ -227,11 +227,11 @@
     return;
   }
   auto others = static_cast<std::int64_t>(members);
-  std::int64_t room = settings.held_back_most - held_by(till);
+  std::int64_t capacity = settings.held_back_most - held_by(till);
   // Low: so little that what each would hold in store is missed elsewhere. It is drawn call by call.
   bool low = balance < 4 * others * plan.usual;
   std::int64_t least = plan.usual;
-  if (till.hungry) least = till.hungry <= std::min(balance, room) ? till.hungry : till.least;
+  if (till.hungry) least = till.hungry <= std::min(balance, capacity) ? till.hungry : till.least;
   Time ahead = low ? std::min(settings.ahead, 250 * kMillisecond) : settings.ahead;
   auto target = static_cast<std::int64_t>(plan.rate * static_cast<double>(ahead) / 1e6);
   bool recent = now - till.last_asked < kRecent;
@@ -243,7 +243,7 @@
   }
   bool needed = till.hungry > 0 || (target >= least && unspent * 2 < target);
   std::int64_t fair = std::max(least, balance / std::max<std::int64_t>(8, 2 * others));
-  std::int64_t wanted = std::min({std::max(target - unspent, low ? least : 4 * least), fair, room});
+  std::int64_t wanted = std::min({std::max(target - unspent, low ? least : 4 * least), fair, capacity});
   if (!needed || wanted < least || balance < least) {
     plan.ask_at.reset();
     return;
--- a/src/fleet/wire/envelope.h
+++ b/src/fleet/wire/envelope.h
@@ -64,7 +64,7 @@
     Time since = 0, heard = 0;
   };
   Time window_;
-  std::map<std::string, Latest, std::less<>> latest_;  // at most kMost; the one not heard longest makes room
+  std::map<std::string, Latest, std::less<>> latest_;  // at most kMost; the one not heard longest is dropped
   static constexpr std::size_t kMost = 8192;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -58,13 +58,13 @@
         startup_(std::move(loaded.startup)),
         values_(std::move(loaded.values)),
         plan_(startup_.longest_deadline),
-        room_(startup_.sockets),
+        descriptors_(startup_.sockets),
         probes_(loop_, startup_.settings.connect_timeout_us),
         registry_(loop_, startup_.registry, startup_.known),
         agent_again_(loop_, [this] { registry_.track(); }),
         dispatcher_(startup_, loop_, probes_, registry_, metrics_),
         workers_(loop_, startup_.settings.connect_timeout_us, metrics_),
-        listener_(loop_, dispatcher_, workers_, address(), room_, metrics_),
+        listener_(loop_, dispatcher_, workers_, address(), descriptors_, metrics_),
         quic_(quic_front()),
         remote_write_(remote_writer()),
         rebalance_counters_(metrics_),
@@ -108,7 +108,7 @@
     read_first_ = !read_first_ && loop_.now() - dispatcher_.next_due() > net::kHeldUp;
     if (read_first_) return 0;
     dispatcher_.advance();
-    dispatcher_.reap();
+    dispatcher_.free_ended();
     dispatcher_.waits();
     return dispatcher_.next_due() - loop_.now();
   }
@@ -163,7 +163,7 @@
     if (!decoded) return nullptr;
     quic::QuicSettings settings = std::move(*decoded);
     log::info("QUIC connection ids are routed on {}", settings.listen);
-    return std::make_unique<quic::Front>(loop_, dispatcher_, std::move(settings), room_, metrics_);
+    return std::make_unique<quic::Front>(loop_, dispatcher_, std::move(settings), descriptors_, metrics_);
   }
 
   static std::optional<rebalance::Settings> rebalance_settings(const config::Startup& startup) {
@@ -245,7 +245,7 @@
         log::warning("fleet: enabled has changed, which takes a restart to follow");
       }
       registry_.follow(loaded.startup.registry);
-      room_.limit(loaded.startup.sockets);
+      descriptors_.set_limit(loaded.startup.sockets);
       log::threshold = level;
       reloads_.add();
       log::info("configuration reloaded, the registry is {}", loaded.startup.registry);
@@ -302,7 +302,7 @@
   const RestartPlan plan_;
   metrics::Registry metrics_;
   net::Loop loop_;
-  net::Room room_;
+  net::DescriptorBudget descriptors_;
   net::Probes probes_;
   net::RegistryWatch registry_;
   net::TimerWatch agent_again_;
--- a/src/metrics/remote_write.cpp
+++ b/src/metrics/remote_write.cpp
@@ -13,7 +13,7 @@
 
 using net::Time;
 
-constexpr Time kLeastBackoff = 500'000, kMostBackoff = 30'000'000, kPatience = 5'000'000;
+constexpr Time kLeastBackoff = 500'000, kMostBackoff = 30'000'000, kWriteTimeout = 5'000'000;
 
 void put_varint(std::string& out, std::uint64_t value) {
   for (; value >= 0x80; value >>= 7) out += static_cast<char>(value | 0x80);
@@ -88,7 +88,7 @@
       registry_(registry),
       collect_(loop, [this] { collect(); }),
       retry_(loop, [this] { send(); }),
-      patience_(loop, [this] { again(); }),
+      write_timeout_(loop, [this] { again(); }),
       backoff_(kLeastBackoff),
       sent_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
                              {{"result", "taken"}})),
@@ -123,7 +123,7 @@
   complete_ = false;
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
-  patience_.start(kPatience);
+  write_timeout_.start(kWriteTimeout);
   if (stream_) return connected();
   stream_ = std::make_unique<net::Stream>(loop_, *this);
   stream_->connect(*net::parse_address(settings_.address));
@@ -170,7 +170,7 @@
 
 void RemoteWrite::done() {
   out_ = false;
-  patience_.stop();
+  write_timeout_.stop();
   backoff_ = kLeastBackoff;
   queue_.pop_front();
   if (!queue_.empty()) retry_.start(0);
@@ -179,7 +179,7 @@
 void RemoteWrite::again() {
   retried_.add();
   out_ = false;
-  patience_.stop();
+  write_timeout_.stop();
   net::Stream::reset(std::move(stream_));
   retry_.start(backoff_);
   backoff_ = std::min(2 * backoff_, kMostBackoff);
--- a/src/metrics/remote_write.h
+++ b/src/metrics/remote_write.h
@@ -48,7 +48,7 @@
   Registry& registry_;
   std::deque<std::string> queue_;
   std::unique_ptr<net::Stream> stream_;
-  net::TimerWatch collect_, retry_, patience_;
+  net::TimerWatch collect_, retry_, write_timeout_;
   http_parser parser_;
   bool out_ = false, complete_ = false;
   net::Time backoff_;
--- a/src/model/host.cpp
+++ b/src/model/host.cpp
@@ -47,8 +47,8 @@
   void leave_worker();
 };
 
-// The delegation. Its end, whatever the reason, is told to the worker: its connection is closed.
-class Host::Attempt : public core::Delegation {
+// The attempt. Its end, whatever the reason, is told to the worker: its connection is closed.
+class Host::Attempt : public core::Attempt {
  public:
   Attempt(Seat& seat, int worker) : seat_(seat), worker_(worker), key_(seat.key()) { seat.attempt = this; }
   ~Attempt() override {
@@ -73,8 +73,8 @@
 class Host::Net : public core::WorkerSide {
  public:
   explicit Net(Host& host) : host_(host) {}
-  std::unique_ptr<core::Delegation> delegate(core::Exchange& exchange, const std::string& worker,
-                                             const std::string&, Time) override {
+  std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
+                                               const std::string&, Time) override {
     Seat& seat = *host_.seat_of(std::stoull(exchange.call().opening));
     int number = host_.places_.numbers.at(worker);
     seat.attempts += 1;
@@ -100,7 +100,7 @@
 void Host::Seat::final_answer() {
   if (answered) host->rules_.broken(Rule::one_answer, host->now(), "a second answer");
   answered = true;
-  if (host->now() - asked_at > host->scenario_.patience)
+  if (host->now() - asked_at > host->scenario_.client_timeout)
     host->rules_.broken(Rule::in_time, host->now(), "an answer after the client gave up");
 }
 
@@ -202,7 +202,7 @@
   s.ask_registry = true;
   s.groups = scenario.groups > 0;
   s.max_attempts = scenario.attempts;
-  s.max_pause_us = 1'500'000;
+  s.max_retry_after_us = 1'500'000;
   s.connect_timeout_us = 250'000;
   s.cold_share = scenario.cold_share;
   s.warm_within_us = scenario.warm_within;
@@ -223,7 +223,7 @@
 }
 
 Host::~Host() {
-  over_ = true;  // what the delegations still say would go to lanes that are gone already
+  over_ = true;  // what the attempts still say would go to lanes that are gone already
   driver_.reset();
   dispatcher_.reset();
 }
@@ -267,7 +267,7 @@
 void Host::settle() {
   if (!dispatcher_) return;
   dispatcher_->advance();
-  dispatcher_->reap();
+  dispatcher_->free_ended();
   Time next = std::max(now(), dispatcher_->next_due());
   if (wake_at_ >= 0 && wake_at_ <= next) return;
   wake_at_ = next;
@@ -318,7 +318,7 @@
 
 core::Call Host::call_of(const Seat& seat) const {
   core::Call call;
-  call.expires_in = scenario_.patience;
+  call.expires_in = scenario_.client_timeout;
   call.load_hint = seat.client.load;
   call.group = seat.client.group;
   call.returned = seat.client.returned;
@@ -620,7 +620,7 @@
     if (!seat.used) continue;
     Time until = std::min(end, seat.client.until);
     seat.stands ? figures_.had(seat.client, until) : figures_.went_without(seat.client, until);
-    if (!seat.answered && end - seat.asked_at > scenario_.patience)
+    if (!seat.answered && end - seat.asked_at > scenario_.client_timeout)
       rules_.broken(Rule::one_answer, end, "a call that was never answered");
   }
 }
--- a/src/model/scenario.cpp
+++ b/src/model/scenario.cpp
@@ -145,8 +145,8 @@
     auto whole = [&](const char* key, int absent, int least = 0) {
       return o.number_or<int>(key, least, absent);
     };
-    auto ms = [&](const char* key, double absent) {
-      return static_cast<Time>(real(key, absent) * static_cast<double>(kMillisecond));
+    auto ms = [&](std::string_view key, double absent) {
+      return static_cast<Time>(o.number_or(key, 0.0, absent) * static_cast<double>(kMillisecond));
     };
     auto share = [&](const char* key, double absent) { return o.share_or(key, 0, absent); };
     s.name = o.text("name");
@@ -189,7 +189,7 @@
     s.lost = share("clients.lost_share", 0);
     if (o.find("clients.placed")) s.placed = o.text("clients.placed");
     s.comes_back = ms("clients.comes_back_ms", 300);
-    s.patience = ms("clients.patience_ms", 3000);
+    s.client_timeout = ms(o.renamed("clients.timeout_ms", "clients.patience_ms"), 3000);
     s.tries = whole("clients.tries", 8, 1);
     s.hop = ms("net.hop_ms", 1);
     if (s.hop < 200) o.refuse("net.hop_ms", "0.2 or more");
--- a/src/model/scenario.h
+++ b/src/model/scenario.h
@@ -56,7 +56,7 @@
   int groups = 0;
   double big_group = 0, quic_share = 0, quic_obeys = 1, lost = 0;
   std::string placed;  // the kind that holds all that stand at the start; empty: all, by scale
-  Time comes_back = 0, patience = 0;
+  Time comes_back = 0, client_timeout = 0;
   int tries = 0;
   // The net, the registry and the reports.
   Time hop = 0, jitter = 0, list_least = 0, list_most = 0, report_late = 0;
--- a/src/model/worker.cpp
+++ b/src/model/worker.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "fading.h"
+#include "decay.h"
 
 namespace marblehub::model {
 namespace {
@@ -47,7 +47,7 @@
 }
 
 double Worker::warmth(Time now) const {
-  return marblehub::policy::warm_part(started_, now, scenario_.cold_share, scenario_.warm_within);
+  return marblehub::policy::slow_start_factor(started_, now, scenario_.cold_share, scenario_.warm_within);
 }
 
 double Worker::capacity(Time now) const { return kind_.cores * kind_.speed * slow_ * warmth(now) * 1e6; }
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -18,7 +18,7 @@
 constexpr int kAcceptAtOnce = 16;         // then others have their turn
 constexpr int kClientBuffer = 64 * 1024;  // the system's, for what a client sends faster than it is read
 // A client that has not asked by then is let go, whatever it sends meanwhile: 3 s are allowed.
-constexpr Time kPatience = 2'000'000;
+constexpr Time kRequestTimeout = 2'000'000;
 constexpr std::int64_t kLongestWait = 3'600'000;  // milliseconds; a client says so with what is handed over
 constexpr int kPings = 8;                         // on one connection; a checker needs one
 // Clients that are looked at for one that gives way: as many as the loop takes from the system in one turn.
@@ -27,11 +27,11 @@
 }  // namespace
 
 Listener::Listener(Loop& loop, core::Dispatcher& dispatcher, core::WorkerSide& workers,
-                   const sockaddr_in& address, Room& room, metrics::Registry& metrics)
+                   const sockaddr_in& address, DescriptorBudget& descriptors, metrics::Registry& metrics)
     : loop_(loop),
       dispatcher_(dispatcher),
       workers_(workers),
-      room_(room),
+      descriptors_(descriptors),
       fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
       io_(loop, [this](int) { accept_some(); }),
       pause_(loop, [this] { io_.start(fd_.get(), EV_READ); }),
@@ -40,9 +40,10 @@
       malformed_(metrics.counter("marblehub_malformed_lines_total", "First lines that no client may send")),
       silent_(
           metrics.counter("marblehub_silent_clients_total", "Clients let go that had asked nothing in time")),
-      gave_way_(metrics.counter("marblehub_clients_gave_way_total",
-                                "Clients that had asked nothing yet, closed to keep descriptors for others")),
-      no_room_(metrics.counter("marblehub_no_room_total", "Calls refused for want of a descriptor")),
+      evicted_(metrics.counter("marblehub_clients_gave_way_total",
+                               "Clients that had asked nothing yet, closed to keep descriptors for others")),
+      rejected_for_descriptors_(
+          metrics.counter("marblehub_no_room_total", "Calls refused for want of a descriptor")),
       pings_(metrics.counter("marblehub_front_pings_total", "PING lines answered")),
       bytes_in_(metrics.counter("marblehub_client_bytes_received_total", "Bytes from clients")),
       bytes_out_(metrics.counter("marblehub_client_bytes_sent_total", "Bytes to clients")) {
@@ -64,8 +65,9 @@
 }
 
 bool Listener::accept_one() {
-  if (!room_.may_accept() && someone_waits() && !Stream::reclaim() && one_gives_way(0)) Stream::reclaim();
-  if (!room_.may_accept()) {
+  if (!descriptors_.may_accept() && connection_pending() && !Stream::reclaim() && evict_one(0))
+    Stream::reclaim();
+  if (!descriptors_.may_accept()) {
     pause();
     return false;
   }
@@ -73,8 +75,8 @@
   if (!fd) {
     if (errno == EINTR || errno == ECONNABORTED) return true;
     bool short_of = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    if (!short_of || !someone_waits()) return false;  // no descriptor is told before nobody waits
-    if (Stream::reclaim() || (one_gives_way(0) && Stream::reclaim())) return true;
+    if (!short_of || !connection_pending()) return false;  // no descriptor is told before nobody waits
+    if (Stream::reclaim() || (evict_one(0) && Stream::reclaim())) return true;
     pause();
     return false;
   }
@@ -84,11 +86,11 @@
   link.place_ = std::prev(links_.end());
   link.asking_place_ = asking_.insert(asking_.end(), &link);
   link.start(std::move(fd));
-  make_room(1);
+  free_descriptors(1);
   return true;
 }
 
-bool Listener::someone_waits() const {
+bool Listener::connection_pending() const {
   pollfd waiting{fd_.get(), POLLIN, 0};
   return ::poll(&waiting, 1, 0) > 0;
 }
@@ -97,17 +99,17 @@
 // something to ask does so at once. On accepting, the newest of all stays: its first line may come a moment
 // after its connection, and nobody has come yet for whom it would have to give way. Those that give way
 // linger after their answer, as long as nothing else needs the descriptor.
-void Listener::make_room(std::size_t staying) {
-  while (room_.scarce() && one_gives_way(staying)) {
+void Listener::free_descriptors(std::size_t staying) {
+  while (descriptors_.scarce() && evict_one(staying)) {
   }
-  while (room_.none() && Stream::reclaim()) {
+  while (descriptors_.exhausted() && Stream::reclaim()) {
   }
 }
 
 // The oldest that has sent nothing, and only then the oldest in the middle of its line. Not one of whom bytes
 // lie unread: it may have asked already, and a close over unread bytes resets the connection, its answer with
 // it. It is read in this turn.
-bool Listener::one_gives_way(std::size_t staying) {
+bool Listener::evict_one(std::size_t staying) {
   ClientLink* chosen = nullptr;
   std::size_t candidates = std::min(kLookedAt, asking_.size() - std::min(staying, asking_.size()));
   for (auto at = asking_.begin(); candidates > 0; ++at, --candidates) {
@@ -118,7 +120,7 @@
     chosen = &link;
     break;
   }
-  if (chosen) chosen->make_way();
+  if (chosen) chosen->evict();
   return chosen != nullptr;
 }
 
@@ -133,21 +135,21 @@
   if (!fd_) return;
   while (accept_one()) {
   }
-  if (pause_.active() && someone_waits()) return;  // no descriptor was free for the next one
+  if (pause_.active() && connection_pending()) return;  // no descriptor was free for the next one
   pause_.stop();
   io_.stop();
   fd_.reset();
 }
 
 void Listener::turn_away_silent() {
-  // Links that end meanwhile are only buried: they live until the next wait.
+  // Links that end meanwhile are only released later: they live until the next wait.
   const std::vector<ClientLink*> all(asking_.begin(), asking_.end());
   for (ClientLink* link : all) link->ask_now_or_leave();
 }
 
 void Listener::remove(ClientLink& link) {
   auto place = link.place_;
-  loop_.bury(std::shared_ptr<ClientLink>(std::move(*place)));
+  loop_.defer_release(std::shared_ptr<ClientLink>(std::move(*place)));
   links_.erase(place);
 }
 
@@ -155,14 +157,14 @@
     : listener_(listener),
       from_stream_(*this),
       stream_(std::make_unique<Stream>(loop, from_stream_)),
-      patience_(loop, [this] { never_asked(); }) {}
+      request_timeout_(loop, [this] { never_asked(); }) {}
 
 ClientLink::~ClientLink() = default;
 
 // What has come with the connection is read before others are taken in: one that has asked already must not
 // be taken for one that only holds a descriptor.
 void ClientLink::start(Fd fd) {
-  patience_.start(kPatience);
+  request_timeout_.start(kRequestTimeout);
   stream_->adopt(std::move(fd));
   stream_->read_now();
 }
@@ -210,9 +212,9 @@
   id_ = std::move(id);
   stop_asking();
   asked_ = true;
-  listener_.make_room(0);
-  if (listener_.room_.none()) {
-    listener_.no_room_.add();
+  listener_.free_descriptors(0);
+  if (listener_.descriptors_.exhausted()) {
+    listener_.rejected_for_descriptors_.add();
     return say_and_close("BUSY\r\n");
   }
   log::debug("asked {}", line);  // the id and the key by which a client is followed over all balancers
@@ -250,13 +252,13 @@
   if (stream_ && !asked_) say_and_close("BUSY\r\n");
 }
 
-void ClientLink::make_way() {
-  listener_.gave_way_.add();
+void ClientLink::evict() {
+  listener_.evicted_.add();
   say_and_close("BUSY\r\n", Stream::turn_away);
 }
 
 void ClientLink::stop_asking() {
-  patience_.stop();
+  request_timeout_.stop();
   listener_.asking_.erase(asking_place_);
 }
 
--- a/src/net/client_side.h
+++ b/src/net/client_side.h
@@ -9,8 +9,8 @@
 
 #include "core/dispatcher.h"
 #include "metrics/registry.h"
+#include "net/descriptor_budget.h"
 #include "net/lines.h"
-#include "net/room.h"
 #include "net/stream.h"
 
 namespace marblehub::net {
@@ -20,7 +20,7 @@
 class Listener {
  public:
   Listener(Loop& loop, core::Dispatcher& dispatcher, core::WorkerSide& workers, const sockaddr_in& address,
-           Room& room, metrics::Registry& metrics);
+           DescriptorBudget& descriptors, metrics::Registry& metrics);
   ~Listener();
 
   // Takes what has come, then no more. Stays open, to be closed again later, while someone waits to be
@@ -36,24 +36,24 @@
   friend class ClientLink;
   void accept_some();
   bool accept_one();
-  bool someone_waits() const;  // to be accepted
-  void make_room(std::size_t staying);
-  bool one_gives_way(std::size_t staying);
+  bool connection_pending() const;  // to be accepted
+  void free_descriptors(std::size_t staying);
+  bool evict_one(std::size_t staying);
   void pause();
   void remove(ClientLink& link);
 
   Loop& loop_;
   core::Dispatcher& dispatcher_;
   core::WorkerSide& workers_;
-  Room& room_;
+  DescriptorBudget& descriptors_;
   Fd fd_;
   IoWatch io_;
   TimerWatch pause_;
   std::list<std::unique_ptr<ClientLink>> links_;
   std::list<ClientLink*> asking_;             // those that have not asked yet, the oldest first
   std::unordered_set<std::string> open_ids_;  // of the calls that wait or stand
-  metrics::Metric &accepted_, &full_, &malformed_, &silent_, &gave_way_, &no_room_, &pings_, &bytes_in_,
-      &bytes_out_;
+  metrics::Metric &accepted_, &full_, &malformed_, &silent_, &evicted_, &rejected_for_descriptors_, &pings_,
+      &bytes_in_, &bytes_out_;
 };
 
 class ClientLink final : public core::ClientSide {
@@ -94,7 +94,7 @@
   void malformed();
   void never_asked();
   void ask_now_or_leave();
-  void make_way();
+  void evict();
   void stop_asking();
   void forward(std::string_view bytes);
   void say(std::string_view bytes);
@@ -110,7 +110,7 @@
   char last_said_ = '\n';  // the last byte passed on to the client
   std::string in_;         // what has come and is not passed on yet
   LineWatch lines_;
-  TimerWatch patience_;  // runs until the client has asked, from when it connected
+  TimerWatch request_timeout_;  // runs until the client has asked, from when it connected
   int pings_ = 0;
   std::string id_;  // once it has asked
   std::list<std::unique_ptr<ClientLink>>::iterator place_;
--- a/src/net/room.cpp
+++ b/src/net/descriptor_budget.cpp
@@ -1,4 +1,4 @@
-#include "net/room.h"
+#include "net/descriptor_budget.h"
 
 #include <sys/resource.h>
 
@@ -34,15 +34,17 @@
 
 }  // namespace
 
-Room::Room(std::int64_t most) : own_(open_besides() + kFiles + kRegistryReserve) { limit(most); }
+DescriptorBudget::DescriptorBudget(std::int64_t most) : own_(open_besides() + kFiles + kRegistryReserve) {
+  set_limit(most);
+}
 
-void Room::limit(std::int64_t most) {
+void DescriptorBudget::set_limit(std::int64_t most) {
   limit_ = allowed_by_system(static_cast<std::size_t>(std::max<std::int64_t>(most, 0)));
   Fd::allow(limit_ - std::min(limit_, own_));
 }
 
-bool Room::scarce() const { return Fd::left() + Stream::lingering() <= limit_ / 8; }
+bool DescriptorBudget::scarce() const { return Fd::left() + Stream::lingering() <= limit_ / 8; }
 
-bool Room::for_one() { return Fd::left() > 0 || Stream::reclaim(); }
+bool DescriptorBudget::make_one_available() { return Fd::left() > 0 || Stream::reclaim(); }
 
 }  // namespace marblehub::net
--- a/src/net/room.h
+++ b/src/net/descriptor_budget.h
@@ -16,19 +16,19 @@
 // are served.
 constexpr std::size_t kRegistryReserve = kAnswerReserve + 1;
 
-class Room {
+class DescriptorBudget {
  public:
-  explicit Room(std::int64_t limit);
+  explicit DescriptorBudget(std::int64_t limit);
   // From the configuration, at start and on reload. What the system allows is a bound as well.
-  void limit(std::int64_t most);
+  void set_limit(std::int64_t most);
 
-  bool none() const { return Fd::left() == 0; }
+  bool exhausted() const { return Fd::left() == 0; }
   bool may_accept() const { return Fd::left(kAnswerReserve) > 0; }
   // The last eighth is kept for those who have asked: whoever has not asked yet gives way.
   // Connections that only linger after their end do not count: they are closed when a descriptor is needed.
   bool scarce() const;
   // Whether there is a descriptor for one more, with a spare connection closed for it if need be.
-  bool for_one();
+  bool make_one_available();
 
  private:
   std::size_t limit_ = 0;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -53,7 +53,7 @@
   ev_prepare_stop(loop_, &prepare_);
   ev_timer_stop(loop_, &wake_);
   kept_.clear();
-  while (!buried_.empty()) std::exchange(buried_, {}).clear();
+  while (!deferred_.empty()) std::exchange(deferred_, {}).clear();
   ev_loop_destroy(loop_);
 }
 
@@ -69,7 +69,7 @@
   auto it = kept_.find(object);
   if (it == kept_.end()) return;
   awaited_ -= it->second.awaited;
-  bury(std::move(it->second.object));
+  defer_release(std::move(it->second.object));
   kept_.erase(it);
 }
 
@@ -78,7 +78,7 @@
 
 void Loop::prepare(struct ev_loop* loop, ev_prepare* watcher, int) {
   Loop& self = *static_cast<Loop*>(watcher->data);
-  while (!self.buried_.empty()) std::exchange(self.buried_, {}).clear();
+  while (!self.deferred_.empty()) std::exchange(self.deferred_, {}).clear();
   if (!self.hook_) return;
   Time sleep = std::max<Time>(0, self.hook_());
   ev_timer_stop(loop, &self.wake_);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -53,7 +53,7 @@
   // Called before each wait; returns how long the loop may sleep.
   void before_wait(std::function<Time()> hook) { hook_ = std::move(hook); }
   // Keeps an object until no callback of it can be running: it is freed before the next wait.
-  void bury(std::shared_ptr<void> object) { buried_.push_back(std::move(object)); }
+  void defer_release(std::shared_ptr<void> object) { deferred_.push_back(std::move(object)); }
   // Owns an object that finishes by itself, until release. Whatever has not by the end goes with the loop;
   // the program's exit waits, for a bounded time, for those that are `awaited`.
   void keep(std::shared_ptr<void> object, bool awaited);
@@ -71,7 +71,7 @@
   ev_timer wake_;
   Time offset_ = 0;
   std::function<Time()> hook_;
-  std::vector<std::shared_ptr<void>> buried_;
+  std::vector<std::shared_ptr<void>> deferred_;
   struct Kept {
     std::shared_ptr<void> object;
     bool awaited;
--- a/src/net/registry_watch.cpp
+++ b/src/net/registry_watch.cpp
@@ -3,7 +3,7 @@
 #include <fmt/format.h>
 
 #include "log/log.h"
-#include "net/room.h"
+#include "net/descriptor_budget.h"
 
 namespace marblehub::net {
 namespace {
@@ -11,14 +11,14 @@
 // News counts as told 2 s after a watch's wait is over at the latest: a short wait finds a silent registry
 // soon. The module asks again up to 1.25 s after a failed call, and the answer takes its time too.
 constexpr Time kHold = 8'000'000;
-constexpr Time kWatchPatience = kHold + 600'000;
+constexpr Time kWatchTimeout = kHold + 600'000;
 // What a silent registry has to tell counts as told 6 s after it fell silent. By then the call that is out
 // has been given up, the module's pause of up to 1.25 s is over, and the next call is answered.
-constexpr Time kCallPatience = 3'000'000;  // of a call that need not wait: the registry fails later ones too
-constexpr Time kConnectPatience = 1'200'000;  // the system sends a lost SYN again after 1 s
-constexpr Time kAnswerPatience = 2'000'000;   // from the first byte of an answer to its last
-constexpr int kReadsAtOnce = 64;              // if bytes never cease
-constexpr std::int64_t kNoVersion = -1;       // the first version of a list may well be 0
+constexpr Time kCallTimeout = 3'000'000;  // of a call that need not wait: the registry fails later ones too
+constexpr Time kConnectTimeout = 1'200'000;  // the system sends a lost SYN again after 1 s
+constexpr Time kAnswerTimeout = 2'000'000;   // from the first byte of an answer to its last
+constexpr int kReadsAtOnce = 64;             // if bytes never cease
+constexpr std::int64_t kNoVersion = -1;      // the first version of a list may well be 0
 constexpr std::size_t kLongestBody = 8 * 1024 * 1024;
 
 const http_parser_settings& callbacks() {
@@ -46,7 +46,7 @@
     : loop_(loop),
       address_(std::move(address)),
       index_(known.workers.empty() ? kNoVersion : known.index),
-      patience_(loop, [this] { out_of_time(); }),
+      call_timeout_(loop, [this] { out_of_time(); }),
       next_(loop, [this] { call(); }) {}
 
 RegistryWatch::~RegistryWatch() { close(); }
@@ -59,7 +59,7 @@
 
 void RegistryWatch::drop_call() {
   out_ = sent_ = answering_ = false;
-  patience_.stop();
+  call_timeout_.stop();
   Stream::reset(std::move(stream_));
 }
 
@@ -86,7 +86,7 @@
   body_.clear();
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = &body_;
-  patience_.start(kConnectPatience);
+  call_timeout_.start(kConnectTimeout);
   if (stream_) return connected();
   auto to = parse_address(address_);
   if (!to) return fail("no address");
@@ -98,7 +98,7 @@
 void RegistryWatch::connected() {
   sent_ = true;
   bool watches = index_ >= 0;
-  patience_.start(watches ? kWatchPatience : kCallPatience);
+  call_timeout_.start(watches ? kWatchTimeout : kCallTimeout);
   std::string query = watches ? fmt::format("?from={}&hold_ms={}", index_, kHold / 1000) : "";
   stream_->write(fmt::format(
       "GET /registry/instances{} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", query, address_));
@@ -107,7 +107,7 @@
 void RegistryWatch::received(std::string_view bytes) {
   received_ = true;
   if (!out_) return Stream::reset(std::move(stream_));  // nothing is asked: this connection is out of step
-  if (!std::exchange(answering_, true)) patience_.start(kAnswerPatience);
+  if (!std::exchange(answering_, true)) call_timeout_.start(kAnswerTimeout);
   std::size_t used = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
     complete();
@@ -138,7 +138,7 @@
   }
   out_ = sent_ = answering_ = false;
   log::debug("registry answer with {} lines, version {}", list.workers.size(), list.index);
-  patience_.stop();
+  call_timeout_.stop();
   http_parser_pause(&parser_, 0);
   if (!http_should_keep_alive(&parser_)) Stream::reset(std::move(stream_));
   bool watched = index_ >= 0;
@@ -162,7 +162,7 @@
 // After a stall of the process the answer may lie in the socket, and it counts as told since it was written.
 void RegistryWatch::out_of_time() {
   read_now();
-  if (out_ && !patience_.active()) fail("no answer in time");
+  if (out_ && !call_timeout_.active()) fail("no answer in time");
 }
 
 void RegistryWatch::read_now() {
--- a/src/net/registry_watch.h
+++ b/src/net/registry_watch.h
@@ -48,7 +48,7 @@
   std::int64_t index_;
   Handler handler_;
   std::unique_ptr<Stream> stream_;
-  TimerWatch patience_, next_;
+  TimerWatch call_timeout_, next_;
   http_parser parser_;
   std::string body_;
   bool out_ = false, closed_ = false, first_ = true;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -243,7 +243,7 @@
   stream->io_.stop();
   stream->fd_.reset();
   Loop& loop = stream->loop_;
-  loop.bury(std::shared_ptr<Stream>(std::move(stream)));
+  loop.defer_release(std::shared_ptr<Stream>(std::move(stream)));
 }
 
 void Stream::linger(std::unique_ptr<Stream> stream, Time span) {
--- a/src/net/worker_side.cpp
+++ b/src/net/worker_side.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-// ---- Delegations -----------------------------------------------------------------------------------
+// ---- Attempts -----------------------------------------------------------------------------------
 
 // One connection to a worker, from the connect to the end of what stands on it.
 class WorkerLink final : public Stream::Handler {
@@ -102,7 +102,7 @@
   void detach() {
     exchange_ = nullptr;
     connect_timer_.stop();
-    // Given up: at once and for good, so that no second delegation is out beside it.
+    // Given up: at once and for good, so that no second attempt is out beside it.
     Stream::reset(std::move(stream_));
   }
 
@@ -165,12 +165,12 @@
 namespace {
 
 // What the exchange owns. The link may be inside a call of its own when it is given back: the loop frees it.
-class Handle final : public core::Delegation {
+class Handle final : public core::Attempt {
  public:
   Handle(Loop& loop, std::shared_ptr<WorkerLink> link) : loop_(loop), link_(std::move(link)) {}
   ~Handle() override {
     link_->detach();
-    loop_.bury(std::move(link_));
+    loop_.defer_release(std::move(link_));
   }
   void deliver(std::string_view bytes) override { link_->deliver(bytes); }
   void hold(bool on) override { link_->hold(on); }
@@ -190,8 +190,8 @@
       bytes_in_(metrics.counter("marblehub_worker_bytes_received_total", "Bytes from workers")),
       bytes_out_(metrics.counter("marblehub_worker_bytes_sent_total", "Bytes to workers")) {}
 
-std::unique_ptr<core::Delegation> WorkerSide::delegate(core::Exchange& exchange, const std::string&,
-                                                       const std::string& address, Time wait) {
+std::unique_ptr<core::Attempt> WorkerSide::begin_attempt(core::Exchange& exchange, const std::string&,
+                                                         const std::string& address, Time wait) {
   return std::make_unique<Handle>(loop_, std::make_shared<WorkerLink>(*this, exchange, address, wait));
 }
 
--- a/src/net/worker_side.h
+++ b/src/net/worker_side.h
@@ -1,4 +1,4 @@
-// The platform's workers: one connection for each delegation, and the probes.
+// The platform's workers: one connection for each attempt, and the probes.
 #pragma once
 
 #include <map>
@@ -15,8 +15,8 @@
 class WorkerSide final : public core::WorkerSide {
  public:
   WorkerSide(Loop& loop, Time connect_timeout, metrics::Registry& metrics);
-  std::unique_ptr<core::Delegation> delegate(core::Exchange& exchange, const std::string& worker,
-                                             const std::string& address, Time wait) override;
+  std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
+                                               const std::string& address, Time wait) override;
 
  private:
   friend class WorkerLink;
--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// One delegation over QUIC. Until the worker's first reply it owns its path; then the path goes on by itself.
-class Attempt final : public core::Delegation {
+// One attempt over QUIC. Until the worker's first reply it owns its path; then the path goes on by itself.
+class Attempt final : public core::Attempt {
  public:
   Attempt(Flow& flow, core::Exchange& exchange) : flow_(flow), exchange_(exchange) {}
   ~Attempt() override {
@@ -123,8 +123,8 @@
   front.send_control(*path, "MOVE " + hex(first_destination));
 }
 
-std::unique_ptr<core::Delegation> Flow::delegate(core::Exchange& to, const std::string& worker,
-                                                 const std::string&, Time) {
+std::unique_ptr<core::Attempt> Flow::begin_attempt(core::Exchange& to, const std::string& worker,
+                                                   const std::string&, Time) {
   auto attempt = std::make_unique<Attempt>(*this, to);
   front.refresh_workers();
   WorkerTable::Worker* at = front.workers_.named(worker);
@@ -132,8 +132,8 @@
     attempt->fail(Outcome::connect_failed);
     return attempt;
   }
-  // Our own want of a descriptor or of room in the table says nothing of the worker; nor does a client that
-  // another worker's Retry has bound.
+  // Our own want of a descriptor or of a place in the table says nothing of the worker; nor does a client
+  // that another worker's Retry has bound.
   path = bound ? nullptr : front.make_path(client, *at);
   if (!path) {
     attempt->fail(Outcome::not_sent);
--- a/src/quic/flow.h
+++ b/src/quic/flow.h
@@ -70,8 +70,8 @@
   void ended(core::Ending) override;
 
   // ---- The worker's side.
-  std::unique_ptr<core::Delegation> delegate(core::Exchange& to, const std::string& worker,
-                                             const std::string& address, Time wait) override;
+  std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& to, const std::string& worker,
+                                               const std::string& address, Time wait) override;
 
   void ask_to_move();
   // Whether so much more may go to the client: three times what came in until its address is validated
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-Front::Front(net::Loop& loop, core::Dispatcher& dispatcher, QuicSettings settings, net::Room& room,
-             metrics::Registry& metrics)
+Front::Front(net::Loop& loop, core::Dispatcher& dispatcher, QuicSettings settings,
+             net::DescriptorBudget& descriptors, metrics::Registry& metrics)
     : loop_(loop),
       dispatcher_(dispatcher),
       settings_(std::move(settings)),
@@ -34,7 +34,7 @@
       validation_(settings_.retry),
       reset_(settings_.reset_key, settings_.resets_per_second),
       request_class_(dispatcher.class_named(settings_.request_class)),
-      room_(room),
+      descriptors_(descriptors),
       listen_(Endpoint::parse(settings_.listen).value_or(Endpoint())),
       fd_(listen_.known() ? listening_socket(listen_) : net::Fd()),
       io_(loop, [this](int) { receive(); }),
@@ -81,7 +81,7 @@
   sweep_.start(kSweep);
 }
 
-// A delegation holds on to its flow: none may outlive the table.
+// An attempt holds on to its flow: none may outlive the table.
 Front::~Front() {
   for (auto& [key, flow] : flows_)
     if (core::Exchange* exchange = std::exchange(flow->exchange, nullptr))
@@ -352,7 +352,8 @@
     if (auto shared = shared_.find(worker); shared != shared_.end()) {
       std::erase(dirty_, shared->second.get());
       shared->second->close();
-      loop_.bury(std::shared_ptr<Upstream>(std::move(shared->second)));  // what it received may have led here
+      loop_.defer_release(
+          std::shared_ptr<Upstream>(std::move(shared->second)));  // what it received may have led here
       shared_.erase(shared);
     }
     std::vector<Path*> there;
--- a/src/quic/front.h
+++ b/src/quic/front.h
@@ -13,8 +13,8 @@
 
 #include "core/dispatcher.h"
 #include "metrics/registry.h"
+#include "net/descriptor_budget.h"
 #include "net/loop.h"
-#include "net/room.h"
 #include "quic/connection_id.h"
 #include "quic/datagrams.h"
 #include "quic/flow.h"
@@ -30,8 +30,8 @@
 
 class Front {
  public:
-  Front(net::Loop& loop, core::Dispatcher& dispatcher, QuicSettings settings, net::Room& room,
-        metrics::Registry& metrics);
+  Front(net::Loop& loop, core::Dispatcher& dispatcher, QuicSettings settings,
+        net::DescriptorBudget& descriptors, metrics::Registry& metrics);
   ~Front();
   void close();  // new clients are taken no more; what stands goes on
   // Another file, whole or not at all: throws std::runtime_error with the key that stands against it. No
@@ -119,7 +119,7 @@
   StatelessReset reset_;
   WorkerTable workers_;
   const int request_class_;
-  net::Room& room_;
+  net::DescriptorBudget& descriptors_;
   const Endpoint listen_;
   net::Fd fd_;
   net::IoWatch io_;
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kLinksBound = 8;  // connection ids remembered for one connection
 
 // The core's hold on a connection that this router did not set up: there is nothing to give up.
-class Adopted final : public core::Delegation {
+class Adopted final : public core::Attempt {
  public:
   void deliver(std::string_view) override {}
   void hold(bool) override {}
@@ -48,10 +48,10 @@
 Path* Front::make_path(const Endpoint& client, WorkerTable::Worker& worker) {
   bool needs_descriptor = settings_.forwarding == Forwarding::socket;
   bool full = all_paths_.size() >= settings_.paths;
-  if (full || (needs_descriptor && room_.scarce())) {  // the one unused for longest makes room
+  if (full || (needs_descriptor && descriptors_.scarce())) {  // the one unused for longest is evicted
     bool made = oldest_ != nullptr;
     if (made) drop_path(*oldest_);
-    if (!made && (full || (needs_descriptor && !room_.for_one()))) {
+    if (!made && (full || (needs_descriptor && !descriptors_.make_one_available()))) {
       full_.add();
       return nullptr;
     }
@@ -93,7 +93,7 @@
   }
   if (path.listed) paths_.erase(path_key(path.client, path.worker));
   auto it = all_paths_.find(&path);
-  loop_.bury(std::shared_ptr<Path>(std::move(it->second)));
+  loop_.defer_release(std::shared_ptr<Path>(std::move(it->second)));
   all_paths_.erase(it);
 }
 
@@ -188,7 +188,7 @@
   }
   auto it = flows_.find(flow.by_tuple ? tuple_key(flow.client)
                                       : flow_key(flow.first_destination, flow.client_source));
-  loop_.bury(it->second);
+  loop_.defer_release(it->second);
   flows_.erase(it);
 }
 
--- a/src/rebalance/planner.cpp
+++ b/src/rebalance/planner.cpp
@@ -141,7 +141,7 @@
 // ---- How the fleet looks -----------------------------------------------------------------------------
 
 double Planner::warmth(const Worker& w, Time now) const {
-  return marblehub::policy::warm_part(w.start_time, now, fleet_.cold_share, fleet_.warm_within);
+  return marblehub::policy::slow_start_factor(w.start_time, now, fleet_.cold_share, fleet_.warm_within);
 }
 
 // Loads are over what a worker can do while it warms; sizes are in what it can do then.
@@ -173,8 +173,8 @@
     if (!w.serving || w.level < 0 || now - w.reported_at > settings_.stale) continue;
     double size = w.scale * warmth(w, now);
     if (w.level > view.mean) view.excess += (w.level - view.mean) * size;
-    // What warms yet takes less than it seems to have room for: its part comes as it warms.
-    if (w.level < view.mean) view.room += (view.mean - w.level) * size * warmth(w, now);
+    // What warms yet takes less than its headroom seems to allow: its part comes as it warms.
+    if (w.level < view.mean) view.headroom += (view.mean - w.level) * size * warmth(w, now);
   }
   return view;
 }
@@ -249,7 +249,7 @@
   if (watched_since_ < 0) watched_since_ = now;
   // A gap that opened after the watch began, as new workers report, is what the moves are measured by.
   watched_gap_ = std::max(watched_gap_, gap_);
-  if (now - watched_since_ < settings_.patience) return Still::acting;
+  if (now - watched_since_ < settings_.progress_timeout) return Still::acting;
   bool tried = moved_since_ > 0, narrowed = gap_ <= watched_gap_ * kNarrowed;
   watched_since_ = now, watched_gap_ = gap_, moved_since_ = 0;
   if (!tried) return Still::acting;
@@ -257,7 +257,7 @@
     fruitless_ = 0;
     return Still::acting;
   }
-  rest_until_ = now + settings_.patience * (Time{1} << std::min(fruitless_, kLongestRest));
+  rest_until_ = now + settings_.progress_timeout * (Time{1} << std::min(fruitless_, kLongestRest));
   fruitless_ += 1;
   return Still::no_better;
 }
@@ -357,8 +357,8 @@
   }
   const std::size_t outside = settings_.dry_run ? 0 : plan.moves.size();  // there it has been counted
 
-  // Only as much leaves the full ones as the others have room for now, and of it a part each step.
-  double fit = view.excess > 0 ? std::min(1.0, view.room / view.excess) : 0;
+  // Only as much leaves the full ones as the others have headroom for now, and of it a part each step.
+  double fit = view.excess > 0 ? std::min(1.0, view.headroom / view.excess) : 0;
   double unit = work_a_level(view);
   bool due = false, gains = false, barred = false;
   // A worker at a time, from a random one on: a limit that is soon spent must not always spare the last.
--- a/src/rebalance/planner.h
+++ b/src/rebalance/planner.h
@@ -15,7 +15,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "fading.h"
+#include "decay.h"
 #include "rebalance/settings.h"
 
 namespace marblehub::rebalance {
@@ -131,7 +131,7 @@
     void look(bool bad, bool well, Time now);
   };
   struct View {  // of the fleet, at one moment
-    double mean = 0, lasting = 0, scales = 0, room = 0, excess = 0;
+    double mean = 0, lasting = 0, scales = 0, headroom = 0, excess = 0;
     int seen = 0, old = 0;
   };
 
@@ -166,7 +166,7 @@
   std::deque<Time> moved_;    // by this planner, within the last minute
   std::deque<Time> set_ups_;  // at this balancer, within the last minute
   std::deque<Time> to_come_;  // set-ups that moves will make, within the last minute
-  marblehub::policy::Faded refused_, asked_;
+  marblehub::policy::DecayingValue refused_, asked_;
   std::vector<std::uint64_t> outside_;  // and some that have ended
   double outside_credit_ = 0;
   std::mt19937_64 outside_random_;  // of its own: where no routes are, moves for balance are as without
@@ -176,7 +176,7 @@
   double watched_gap_ = 0;  // when the present try began
   Time watched_since_ = -1, rest_until_ = -1, last_plan_ = -1;
   int moved_since_ = 0, fruitless_ = 0;
-  double stood_ = 0, ended_ = 0;  // connection-seconds, and ends other than ours; fading
+  double stood_ = 0, ended_ = 0;  // connection-seconds, and ends other than ours; decaying
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/settings.cpp
+++ b/src/rebalance/settings.cpp
@@ -5,7 +5,7 @@
 
 using config::Options;
 
-Time seconds(const Options& options, const char* key, double least, Time absent) {
+Time seconds(const Options& options, std::string_view key, double least, Time absent) {
   return static_cast<Time>(options.number_or(key, least, static_cast<double>(absent) / 1e6) * 1e6);
 }
 
@@ -40,7 +40,8 @@
   s.stale = seconds(options, "stale_s", 1, s.stale);
   s.refusals = options.share_or("refusals", 0.001, s.refusals);
   s.overload = options.share_or("overload", 0.1, s.overload);
-  s.patience = seconds(options, "patience_s", 10, s.patience);
+  s.progress_timeout =
+      seconds(options, options.renamed("progress_timeout_s", "patience_s"), 10, s.progress_timeout);
   if (options.find("pause_file")) s.pause_file = options.text("pause_file");
   std::vector<std::string> unread = options.unread();
   if (!unread.empty()) options.refuse(unread.front(), "no such key");
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -8,7 +8,7 @@
   auto sound = [](double value) { return std::isfinite(value) && value >= 0; };
   if (s.balancers < 1) return "balancers";
   if (s.max_attempts < 1) return "limits.max_attempts";
-  if (s.max_pause_us < 0) return "limits.max_retry_after_us";
+  if (s.max_retry_after_us < 0) return "limits.max_retry_after_us";
   if (s.connect_timeout_us < 0) return "limits.connect_timeout_us";
   if (s.stop_sending_within_us < 0) return "invariants.stop_sending_within_us";
   if (!(s.cold_share > 0 && s.cold_share <= 1)) return "invariants.cold_share";
--- a/src/state.h
+++ b/src/state.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fading.h"
+#include "decay.h"
 #include "marblehub/policy.h"
 
 namespace marblehub::policy {
@@ -48,10 +48,10 @@
 
 // The attempts that are being set up within one set of workers.
 struct Setups {
-  int beginning = 0;   // attempts that are out and do not stand yet
-  double limit = 1e9;  // of those at once: failures shrink it
-  Time limit_cut = 0;  // only by what was sent since
-  Faded failures;      // of attempts to set one up
+  int beginning = 0;       // attempts that are out and do not stand yet
+  double limit = 1e9;      // of those at once: failures shrink it
+  Time limit_cut = 0;      // only by what was sent since
+  DecayingValue failures;  // of attempts to set one up
   Time used_at = 0;
 
   // Failures of the last `memory` count like attempts that are still out.
@@ -126,9 +126,9 @@
 
   int active = 0;                       // connections accepted here
   double load = 0;                      // their load, in usual connections
-  Faded recent;                         // load of new connections sent here
-  Faded evidence;                       // ms that a message is said to take here
-  Faded report;                         // the same from the last load report
+  DecayingValue recent;                 // load of new connections sent here
+  DecayingValue evidence;               // ms that a message is said to take here
+  DecayingValue report;                 // the same from the last load report
   Time report_at = -1'000'000'000'000;  // of the last load report; at first long ago
   double level = 0;                     // load over capacity: as last reported, and what was sent here since
 
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <random>
 
-#include "fading.h"
+#include "decay.h"
 #include "support/module_bench.h"
 
 namespace marblehub::test {
@@ -83,7 +83,9 @@
   bool leaves(int worker) const { return worker % 3 == 1; }
   bool chance(double part) { return std::uniform_real_distribution<double>()(chance_) < part; }
   int any(int of) { return std::uniform_int_distribution<int>(0, of - 1)(chance_); }
-  double warmth(const Worker& w) const { return warm_part(w.entry.start_time, now_, 0.13, 24 * kSecond); }
+  double warmth(const Worker& w) const {
+    return slow_start_factor(w.entry.start_time, now_, 0.13, 24 * kSecond);
+  }
 
   void trouble() {
     if (now_ == kLost)
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -30,7 +30,7 @@
   s.classes.push_back(stream_class());
   s.cold_share = 0.2;
   s.warm_within_us = 10 * kSec;
-  s.max_pause_us = kSec;
+  s.max_retry_after_us = kSec;
   return s;
 }
 
@@ -55,8 +55,8 @@
   std::vector<Action> actions;
   std::multimap<Time, std::uint64_t> timers;
   std::vector<Submit> submits;
-  std::vector<Decline> declines;
-  std::vector<Surrender> surrenders;
+  std::vector<Reject> rejections;
+  std::vector<Fail> failures;
   std::vector<Redirect> redirects;
   std::vector<std::string> probes;
   int tracks = 0;
@@ -73,8 +73,8 @@
     std::vector<std::string> probed;
     for (const Action& a : todo) {
       if (auto* x = std::get_if<Submit>(&a)) submits.push_back(*x);
-      if (auto* x = std::get_if<Decline>(&a)) declines.push_back(*x);
-      if (auto* x = std::get_if<Surrender>(&a)) surrenders.push_back(*x);
+      if (auto* x = std::get_if<Reject>(&a)) rejections.push_back(*x);
+      if (auto* x = std::get_if<Fail>(&a)) failures.push_back(*x);
       if (auto* x = std::get_if<Redirect>(&a)) redirects.push_back(*x);
       if (auto* x = std::get_if<Probe>(&a)) probes.push_back(x->backend), probed.push_back(x->backend);
       if (auto* x = std::get_if<SetTimer>(&a)) timers.emplace(now + x->after, x->cookie);
@@ -123,7 +123,7 @@
     if (id_out) *id_out = id;
     return submits.back().backend;
   }
-  std::size_t answers() const { return declines.size() + surrenders.size(); }
+  std::size_t answers() const { return rejections.size() + failures.size(); }
 };
 
 // ---- The four rules
@@ -134,7 +134,7 @@
   relay.list({});
   relay.request();
   relay.run_for(1800 * kMs);
-  EXPECT_EQ(relay.declines.size(), 1u);
+  EXPECT_EQ(relay.rejections.size(), 1u);
   relay.run_for(5 * kSec);
   EXPECT_EQ(relay.answers(), 1u);
   EXPECT_EQ(relay.balancer.counts().unanswered, 0u);
@@ -169,7 +169,7 @@
   std::uint64_t id = relay.request();
   for (int attempt = 0; attempt < 3; ++attempt) relay.result(id, Outcome::connect_failed, false, attempt);
   EXPECT_EQ(relay.submits.size(), 3u);
-  EXPECT_EQ(relay.declines.size(), 1u);
+  EXPECT_EQ(relay.rejections.size(), 1u);
   std::set<std::string> used;
   for (const Submit& s : relay.submits) used.insert(s.backend);
   EXPECT_EQ(used.size(), 3u) << "a further attempt goes elsewhere";
@@ -191,8 +191,8 @@
   std::uint64_t id = relay.request();
   relay.result(id, Outcome::timeout);
   EXPECT_EQ(relay.submits.size(), 1u);
-  EXPECT_EQ(relay.surrenders.size(), 1u);
-  EXPECT_TRUE(relay.declines.empty());
+  EXPECT_EQ(relay.failures.size(), 1u);
+  EXPECT_TRUE(relay.rejections.empty());
 }
 
 TEST(Rules, AnUnsafeRequestThatNeverRanIsRepeated) {
@@ -205,7 +205,7 @@
   EXPECT_EQ(relay.submits.size(), 2u);
   relay.result(id, Outcome::connect_failed, false, 1);
   relay.result(id, Outcome::not_sent, false, 2);
-  EXPECT_EQ(relay.declines.size(), 1u);
+  EXPECT_EQ(relay.rejections.size(), 1u);
 }
 
 TEST(Rules, AKeyedRequestThatMayHaveRunStaysInItsGroup) {
@@ -225,7 +225,7 @@
       EXPECT_EQ(group(first), group(next));
       relay.result(id, Outcome::reset, false, 1);
       relay.result(id, Outcome::reset, false, 2);
-      EXPECT_EQ(relay.surrenders.size(), 1u) << "a refusal would let it run outside its group";
+      EXPECT_EQ(relay.failures.size(), 1u) << "a refusal would let it run outside its group";
     }
   }
 }
@@ -241,7 +241,7 @@
   relay.result(id, Outcome::timeout);
   relay.run_for(2 * kSec);
   EXPECT_EQ(relay.submits.size(), 1u);
-  EXPECT_EQ(relay.declines.size(), 1u) << "all backends drop its repeats, so trying again is harmless";
+  EXPECT_EQ(relay.rejections.size(), 1u) << "all backends drop its repeats, so trying again is harmless";
 }
 
 TEST(Rules, NothingNewGoesToADrainingOrDeletedBackend) {
@@ -702,14 +702,14 @@
     for (std::uint64_t id : ids) relay.send(NoteEvent{id, 0, NoteKind::messages_slow, 500});
     relay.run_for(100 * kMs);
   }
-  relay.declines.clear();
+  relay.rejections.clear();
   for (int i = 0; i < 100; ++i) relay.request();
-  EXPECT_GT(relay.declines.size(), 20u);
-  for (const Decline& d : relay.declines) EXPECT_GT(d.pause, 0);
+  EXPECT_GT(relay.rejections.size(), 20u);
+  for (const Reject& d : relay.rejections) EXPECT_GT(d.pause, 0);
   relay.run_for(60 * kSec);
-  relay.declines.clear();
+  relay.rejections.clear();
   for (int i = 0; i < 100; ++i) relay.request();
-  EXPECT_TRUE(relay.declines.empty());
+  EXPECT_TRUE(relay.rejections.empty());
 }
 
 TEST(Admission, ALostPartOfTheFleetIsNoOverload) {
@@ -732,7 +732,7 @@
     if (on_b0 > 0) relay.send(NoteEvent{on_b0, 0, NoteKind::messages_slow, 500});
     relay.run_for(50 * kMs);
   }
-  EXPECT_TRUE(relay.declines.empty());
+  EXPECT_TRUE(relay.rejections.empty());
 }
 
 // A service that all workers ask when a connection is set up fails for six seconds; clients come again at
@@ -749,7 +749,7 @@
   for (int step = 0; step < 1000; ++step) {
     relay.run_for(10 * kMs);
     if (step % 5 == 0) relay.request();
-    for (; answered < relay.declines.size(); ++answered) relay.request();
+    for (; answered < relay.rejections.size(); ++answered) relay.request();
     for (; seen < relay.submits.size(); ++seen) {
       const Submit& s = relay.submits[seen];
       ends.emplace(relay.now < healed ? s.not_past : relay.now + 30 * kMs, s.id);
--- a/tests/fleet/processes/balancers.cpp
+++ b/tests/fleet/processes/balancers.cpp
@@ -190,7 +190,7 @@
 }
 
 void Balancers::disk_full(const std::string& name, bool full) {
-  note(name, full ? "-- its disk is full" : "-- its disk has room");
+  note(name, full ? "-- its disk is full" : "-- its disk is writable");
   rlimit limit{full ? 4096 : RLIM_INFINITY, RLIM_INFINITY};  // a page: as LMDB opens its file
   if (prlimit(at(name).pid, RLIMIT_FSIZE, &limit, nullptr) != 0) throw std::runtime_error("no limit set");
 }
@@ -218,11 +218,11 @@
 }
 
 int Balancers::exit_code(const std::string& name) {
-  reap(at(name));
+  collect_exit(at(name));
   return at(name).code;
 }
 
-void Balancers::reap(One& one) {
+void Balancers::collect_exit(One& one) {
   int status = 0;
   if (one.pid <= 0 || waitpid(one.pid, &status, WNOHANG) != one.pid) return;
   read(one);
@@ -242,7 +242,7 @@
     ::poll(fds.data(), fds.size(), static_cast<int>(std::clamp((until - now()) * 1000, 0.0, 20.0)));
     for (auto& [name, one] : ones_) {
       read(one);
-      reap(one);
+      collect_exit(one);
     }
   } while (now() < until);
 }
--- a/tests/fleet/processes/balancers.h
+++ b/tests/fleet/processes/balancers.h
@@ -81,7 +81,7 @@
   void write_files(One& one);
   void read(One& one);
   void take(One& one, const std::string& line);
-  void reap(One& one);
+  void collect_exit(One& one);
   One& at(const std::string& name) { return ones_.at(name); }
 
   Fleet fleet_;
--- a/tests/fleet/processes/scenario.cpp
+++ b/tests/fleet/processes/scenario.cpp
@@ -95,7 +95,7 @@
     }
     Names names = who(in);
     if (verb == "hup") hup_at_ = fleet_->now();
-    if (verb == "full" || verb == "room")
+    if (verb == "full" || verb == "free")
       return each(names, [&](const auto& n) { fleet_->disk_full(n, verb == "full"); });
     if (verb == "calls") {
       double rate = number(in);
--- a/tests/fleet/processes/scenario.h
+++ b/tests/fleet/processes/scenario.h
@@ -15,7 +15,7 @@
 //   wait SECONDS
 //   leader within SECONDS           waits until one leads the record; it is `leader` in WHO from then on, and the
 //                                   other voters are `followers`, `follower` and `other`
-//   full WHO | room WHO             the disk of a running one takes nothing more; does again
+//   full WHO | free WHO             the disk of a running one takes nothing more; does again
 //   settings JSON                   once some run: of those that are started from now on
 //   calls WHO RATE [FIELDS]         clients of their own, so many a second at each, for each FIELDS; 0 ends those
 //   stay [SECONDS]                  clients that are set up from now on stay so long, or until they are told to move;
--- a/tests/fleet/random/rules_test.cpp
+++ b/tests/fleet/random/rules_test.cpp
@@ -73,7 +73,7 @@
 };
 
 // From now on, in term 1.
-void votes_only_after_patience(Voter& voter) {
+void votes_only_after_election_timeout(Voter& voter) {
   voter.now += kPatience - 1;
   CHECK(voter.ask(2).empty());
   CHECK(voter.record->term() == 1);
@@ -90,7 +90,7 @@
   Message append = voter.answer(kAppend);
   append.term = 1;
   voter.hear(append);
-  votes_only_after_patience(voter);
+  votes_only_after_election_timeout(voter);
 }
 
 TEST_CASE("a voter that starts gives no vote before it would have missed a leader") {
@@ -102,7 +102,7 @@
   Message known = voter.answer(kHelloBack, false);  // boris follows nobody
   voter.hear(known);
   REQUIRE(voter.record->may_vote());
-  votes_only_after_patience(voter);
+  votes_only_after_election_timeout(voter);
 }
 
 TEST_CASE("an answer that comes late says nothing of the time since what it answers was sent") {
--- a/tests/fleet/service/dispatched.h
+++ b/tests/fleet/service/dispatched.h
@@ -29,7 +29,7 @@
     }
     std::uint64_t changes() override { return changed; }
   };
-  struct Out : core::Delegation {
+  struct Out : core::Attempt {
     void deliver(std::string_view) override {}
     void hold(bool) override {}
     void finish(core::Ending) override {}
@@ -49,7 +49,7 @@
       dispatcher->advance();
       for (const std::string& worker : std::exchange(probed, {}))
         dispatcher->probe_result(worker, 5000, silent.count(worker) ? Outcome::timeout : Outcome::served, {});
-      dispatcher->reap();
+      dispatcher->free_ended();
     }
   }
 
@@ -67,8 +67,8 @@
   void hold(bool) override {}
   void redirect() override { moved += 1; }
   void ended(core::Ending) override {}
-  std::unique_ptr<core::Delegation> delegate(core::Exchange& exchange, const std::string& worker,
-                                             const std::string&, Time) override {
+  std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
+                                               const std::string&, Time) override {
     sent[exchange.id()] = worker;
     return std::make_unique<Out>();
   }
--- a/tests/fleet/wallet/town.h
+++ b/tests/fleet/wallet/wallet_fleet.h
@@ -33,7 +33,7 @@
   std::mt19937_64 engine;
 };
 
-class Town {
+class WalletFleet {
  public:
   struct Call {
     Reservation reservation;
@@ -61,7 +61,7 @@
     }
   };
 
-  Town(std::size_t holders, WalletSettings settings, std::uint64_t seed, bool journals)
+  WalletFleet(std::size_t holders, WalletSettings settings, std::uint64_t seed, bool journals)
       : settings(std::move(settings)), chance(seed), journals(journals), holders(holders) {
     for (std::size_t i = 0; i < holders; ++i) {
       this->holders[i].name = fmt::format("b{}", i);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -193,7 +193,7 @@
 }
 
 // A release: half of the fleet is new, and the old half is full. Counted out to each balancer in tokens of
-// its own, the room of the new ones was missed by a call in four here, and on the days of 300 by most.
+// its own, the capacity of the new ones was missed by a call in four here, and on the days of 300 by most.
 TEST_CASE("300 balancers fill the new half of 90 workers while the old half drowns, and push none over") {
   Settings s = Bench::settings();
   s.groups = true;
@@ -224,10 +224,10 @@
   CHECK(most <= 30);
 }
 
-// One connection says little of its group's size. Of 300 balancers with a few each, all with homes three
+// One connection says little of its group's size. Of 300 balancers with a few each, all with sets three
 // workers wide, every group stood on many, and each of them pays for it: half as much load again after a
 // release.
-TEST_CASE("where balancers hold a connection or two, a group keeps to one worker while it has room") {
+TEST_CASE("where balancers hold a connection or two, a group keeps to one worker while it has capacity") {
   Settings s = Bench::settings();
   s.groups = true;
   std::vector<BackendEntry> young = workers(60);
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -62,7 +62,7 @@
     s.me = 3;
     s.zone = "x";
     s.max_attempts = 4;
-    s.max_pause_us = 1'000'000;
+    s.max_retry_after_us = 1'000'000;
     s.cold_share = 0.3;
     s.warm_within_us = 5'000'000;
     s.price_probe = 0.002;
@@ -117,7 +117,7 @@
         EXPECT_TRUE(c.dedup_scope != DedupScope::cell || t.backend / 2 == b / 2);
       }
       w.tries.push_back({b, now_});
-    } else if (auto* d = std::get_if<Decline>(&action)) {
+    } else if (auto* d = std::get_if<Reject>(&action)) {
       Watched& w = alive(d->id);
       trace_ << "d" << d->id << " ";
       for (const Tried& t : w.tries) {
@@ -128,7 +128,7 @@
         }
       }
       w.answered = true;
-    } else if (auto* f = std::get_if<Surrender>(&action)) {
+    } else if (auto* f = std::get_if<Fail>(&action)) {
       alive(f->id).answered = true;
     } else if (auto* m = std::get_if<Redirect>(&action)) {
       Watched& w = alive(m->id);
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -112,7 +112,7 @@
   CHECK(next.count("") == 0);
 }
 
-TEST_CASE("a worker that reports little room gets few connections") {
+TEST_CASE("a worker that reports little headroom gets few connections") {
   Bench b;
   b.list(ListForm::all, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.report("w1", 0.75);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -312,14 +312,14 @@
   }
 }
 
-TEST_CASE("a worker that drains is neither emptied by the planner nor counted as room") {
+TEST_CASE("a worker that drains is neither emptied by the planner nor counted as headroom") {
   Floor f = uneven(free_settings());
   f.worker("c", false);
   CHECK(f.run(120) == 0);  // a and b are even, and c is none any more
   CHECK(f.last == Still::balanced);
 }
 
-TEST_CASE("what a cold worker has room for comes as it warms") {
+TEST_CASE("what a cold worker has headroom for comes as it warms") {
   Settings s = free_settings();
   Floor cold(s, 1, 100), warm(s, 1, 100);
   for (Floor* f : {&cold, &warm}) {
--- a/tests/product_test.cpp
+++ b/tests/product_test.cpp
@@ -260,6 +260,14 @@
   std::ofstream(file) << R"({"enabled": true, "gap": 3})";
   CHECK(shell(tool + " check --rebalance " + file, &code).find("gap: expected a share") != std::string::npos);
   CHECK(code == 1);
+  std::ofstream(file) << R"({"patience_s": 60})";
+  CHECK(shell(tool + " check --rebalance " + file, &code)
+            .find("warning: patience_s: a former name; use progress_timeout_s") != std::string::npos);
+  CHECK(code == 0);
+  std::ofstream(file) << R"({"patience_s": 60, "progress_timeout_s": 60})";
+  CHECK(shell(tool + " check --rebalance " + file, &code)
+            .find("patience_s: expected only progress_timeout_s") != std::string::npos);
+  CHECK(code == 1);
   std::remove(file.c_str());
 }
 
--- a/tests/quic_test.cpp
+++ b/tests/quic_test.cpp
@@ -368,8 +368,8 @@
   CHECK(up >= 5);
   CHECK(closed >= 5);
   CHECK(up + closed == 30);
-  CHECK(scene.counter("marblehub_delegation_results_total{outcome=\"not_sent\"}") > 0);
-  CHECK(scene.counter("marblehub_delegation_results_total{outcome=\"connect_failed\"}") == 0);
+  CHECK(scene.counter("marblehub_attempt_results_total{outcome=\"not_sent\"}") > 0);
+  CHECK(scene.counter("marblehub_attempt_results_total{outcome=\"connect_failed\"}") == 0);
 }
 
 TEST_CASE("a reload leaves QUIC connections as they are") {
@@ -393,7 +393,7 @@
   scene.run(2000);
   for (auto& c : scene.clients) CHECK(c->ups + c->closes == 1);
   CHECK(scene.workers[0]->initials > 0);
-  CHECK(scene.counter("marblehub_delegation_results_total{outcome=\"full\"}") == scene.workers[0]->initials);
+  CHECK(scene.counter("marblehub_attempt_results_total{outcome=\"full\"}") == scene.workers[0]->initials);
 }
 
 TEST_CASE("what is no QUIC, of another version or for nobody is dropped and counted") {
--- a/tests/settings/drawn.h
+++ b/tests/settings/drawn.h
@@ -34,7 +34,7 @@
     s.balancers = balancers, s.me = me, s.zone = zone(me);
     s.ask_registry = ask, s.groups = groups, s.may_probe = may_probe;
     s.told_load = reports != ReportMode::none;
-    s.max_attempts = attempts, s.may_decline_with_pause = pauses, s.max_pause_us = 1'000'000;
+    s.max_attempts = attempts, s.may_send_retry_after = pauses, s.max_retry_after_us = 1'000'000;
     s.price_probe = price_probe, s.price_cross_zone = price_cross;
     s.cold_share = cold_share, s.warm_within_us = 24'000'000;
     for (int i = 0; i < classes; ++i) {
--- a/tests/settings/rules_test.cpp
+++ b/tests/settings/rules_test.cpp
@@ -59,7 +59,7 @@
 }
 
 // Where they are free: within five seconds and a quarter of that, or so rarely that one worker has twenty a
-// second of all balancers. Where they are dear the town bounds what they cost.
+// second of all balancers. Where they are dear the fleet bounds what they cost.
 TEST_CASE("under any settings workers are probed periodically, where they may be") {
   bool held = under_any_settings("probes", 40, [](const Drawn& d) {
     Bench b(d.settings(0), d.seed);
--- a/tests/settings/running_test.cpp
+++ b/tests/settings/running_test.cpp
@@ -1,12 +1,12 @@
 // Whole days in short: what must hold under any settings, and against chance. That no call has more attempts
 // than allowed, two at once, or other than one answer in time, and that none goes to a worker that leaves,
-// the town itself checks throughout.
+// the fleet itself checks throughout.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <iostream>
 
-#include "town.h"
+#include "simulated_fleet.h"
 
 using namespace marblehub::settings_play;
 
@@ -33,10 +33,10 @@
   double least = 1, most = -1;
   bool held = under_any_settings("calm", 6, [&](const Drawn& d) {
     auto day = [&](bool by_chance) {
-      Town town(d, by_chance);
-      town.run(30 * kS);
-      town.end();
-      return town.since_last();
+      SimulatedFleet fleet(d, by_chance);
+      fleet.run(30 * kS);
+      fleet.end();
+      return fleet.since_last();
     };
     Figures chosen = day(false), chance = day(true);
     double better = chosen.served / chosen.asked - chance.served / chance.asked;
@@ -51,15 +51,15 @@
   REQUIRE(held);
 }
 
-// A worker's drain is told to each balancer in its own time; the town holds each to it.
+// A worker's drain is told to each balancer in its own time; the fleet holds each to it.
 TEST_CASE("under any settings nothing new goes to a worker that leaves") {
   bool held = under_any_settings("leaving", 6, [&](const Drawn& d) {
-    Town town(d);
-    town.run(6 * kS);
-    for (std::size_t i = 0; i < town.workers(); i += 3) town.drain(i);
-    town.run(10 * kS);
-    RC_ASSERT(town.since_last().attempts > 0);
-    town.end();
+    SimulatedFleet fleet(d);
+    fleet.run(6 * kS);
+    for (std::size_t i = 0; i < fleet.workers(); i += 3) fleet.drain(i);
+    fleet.run(10 * kS);
+    RC_ASSERT(fleet.since_last().attempts > 0);
+    fleet.end();
   });
   REQUIRE(held);
 }
@@ -70,19 +70,19 @@
 TEST_CASE("under any settings attempts are bounded while all workers answer with an error") {
   double most = 0;
   bool held = under_any_settings("error storm", 6, [&](const Drawn& d, bool probes_too) {
-    Town town(d);
-    town.run(8 * kS);
-    town.errors(true, probes_too);
+    SimulatedFleet fleet(d);
+    fleet.run(8 * kS);
+    fleet.errors(true, probes_too);
     constexpr Time kStorm = 6 * kS;
-    town.run(kStorm);
+    fleet.run(kStorm);
     double slo = static_cast<double>(d.settings(0).classes[0].slo_us);
-    for (const Town::Storm& s : town.storm()) {
+    for (const SimulatedFleet::Storm& s : fleet.storm()) {
       double bound = 2 * s.before + 3 + kStorm / (std::log(1.5) * slo);
       most = std::max(most, s.all / bound);
       RC_ASSERT(s.all <= bound);
     }
-    town.errors(false, false);
-    town.end();
+    fleet.errors(false, false);
+    fleet.end();
   });
   std::cout << "attempts in a storm, of what is allowed: " << most << "\n";
   REQUIRE(held);
@@ -93,28 +93,28 @@
   bool held = under_any_settings("after trouble", 6, [&](const Drawn& d, bool probes_too) {
     Trouble kind =
         *rc::gen::element(Trouble::errors, Trouble::store_out, Trouble::half_dead, Trouble::registry_silent);
-    Town town(d);
-    town.run(10 * kS);
-    double before = turned_away(town.since_last());
+    SimulatedFleet fleet(d);
+    fleet.run(10 * kS);
+    double before = turned_away(fleet.since_last());
     auto trouble = [&](bool on) {
-      if (kind == Trouble::errors) town.errors(on, probes_too);
-      if (kind == Trouble::store_out) town.store(!on);
-      if (kind == Trouble::registry_silent) town.registry(!on);
-      for (std::size_t i = 0; kind == Trouble::half_dead && i < town.workers(); i += 2)
-        on ? town.kill(i) : town.revive(i);
+      if (kind == Trouble::errors) fleet.errors(on, probes_too);
+      if (kind == Trouble::store_out) fleet.store(!on);
+      if (kind == Trouble::registry_silent) fleet.registry(!on);
+      for (std::size_t i = 0; kind == Trouble::half_dead && i < fleet.workers(); i += 2)
+        on ? fleet.kill(i) : fleet.revive(i);
     };
     trouble(true);
-    if (kind == Trouble::registry_silent) town.drain(0);  // of which nobody can be told
-    town.run(6 * kS);
+    if (kind == Trouble::registry_silent) fleet.drain(0);  // of which nobody can be told
+    fleet.run(6 * kS);
     trouble(false);
-    town.run(kSettled);
-    town.since_last();
-    town.run(5 * kS);
-    double after = turned_away(town.since_last());
+    fleet.run(kSettled);
+    fleet.since_last();
+    fleet.run(5 * kS);
+    double after = turned_away(fleet.since_last());
     worst = std::max(worst, after - before);
     RC_ASSERT(after <= before + 0.02);  // a call or two
-    RC_ASSERT(kind != Trouble::registry_silent || town.untold(0) == 0);
-    town.end();
+    RC_ASSERT(kind != Trouble::registry_silent || fleet.untold(0) == 0);
+    fleet.end();
   });
   std::cout << "more refusals than before the trouble: " << worst << "\n";
   REQUIRE(held);
--- a/tests/settings/town.cpp
+++ b/tests/settings/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "town.h"
+#include "simulated_fleet.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 
 constexpr double kLife = 20e6;  // of a connection, in the mean: the shorter ones of both deployments
 
-struct Town::Client {
+struct SimulatedFleet::Client {
   std::uint64_t number = 0, group = 0;
   int request_class = 0, retries = 0;
   std::size_t balancer = 0;
@@ -17,7 +17,7 @@
   bool returned = false;
 };
 
-struct Town::Call {
+struct SimulatedFleet::Call {
   std::shared_ptr<Client> client;
   Time deadline = 0;
   int attempts = 0;
@@ -25,7 +25,7 @@
   std::size_t worker = 0;
 };
 
-struct Town::Worker {
+struct SimulatedFleet::Worker {
   std::string address, zone;
   double capacity = 1, scale = 1;
   Health health = Health::serving;
@@ -34,10 +34,10 @@
   double load = 0, worth = 0;      // of what stands here
   std::map<std::uint64_t, int> groups;
   std::set<std::pair<std::size_t, std::uint64_t>> standing, setting_up;
-  Faded extra;  // work of probes and set-ups, in seconds over about a second
+  DecayingValue extra;  // work of probes and set-ups, in seconds over about a second
 };
 
-struct Town::Balancing {
+struct SimulatedFleet::Balancing {
   std::unique_ptr<Policy> policy;
   const Balancer* module = nullptr;
   std::map<std::uint64_t, Call> calls;
@@ -76,7 +76,7 @@
     Time left = h.deadline - now - 50 * kMs;
     if (may.empty() || left <= 0 || h.attempts >= settings.max_attempts) {
       held.erase(id);
-      return actions.push_back(Decline{id, 0});
+      return actions.push_back(Reject{id, 0});
     }
     h.attempts += 1;
     actions.push_back(
@@ -101,18 +101,18 @@
 
 }  // namespace
 
-Town::Town(const Drawn& drawn, bool by_chance)
+SimulatedFleet::SimulatedFleet(const Drawn& drawn, bool by_chance)
     : drawn_(drawn),
       arrivals_(drawn.seed),
       chance_(drawn.seed + 1),
       storm_(static_cast<std::size_t>(drawn.balancers)) {
-  std::mt19937_64 town(drawn.seed + 2);
+  std::mt19937_64 fleet(drawn.seed + 2);
   double sizes = 0;
   for (int i = 0; i < drawn.workers; ++i) {
     Worker w;
     w.address = "w" + std::to_string(i), w.zone = drawn.zone(i);
-    w.capacity = 0.6 + 0.9 * uniform(town);
-    w.scale = w.capacity * (0.85 + 0.3 * uniform(town));  // the list's figure is a rough one
+    w.capacity = 0.6 + 0.9 * uniform(fleet);
+    w.scale = w.capacity * (0.85 + 0.3 * uniform(fleet));  // the list's figure is a rough one
     w.advanced = now_;
     sizes += w.capacity;
     workers_.push_back(std::move(w));
@@ -137,9 +137,9 @@
   next_client();
 }
 
-Town::~Town() = default;
+SimulatedFleet::~SimulatedFleet() = default;
 
-void Town::run(Time span) {
+void SimulatedFleet::run(Time span) {
   Time end = now_ + span;
   while (!due_.empty() && due_.top().when <= end) {
     Due next = due_.top();
@@ -150,7 +150,7 @@
   now_ = end;
 }
 
-void Town::end() {
+void SimulatedFleet::end() {
   open_ = false;
   auto busy = [](const Balancing& b) { return !b.calls.empty(); };
   for (int i = 0; i < 18 && std::any_of(balancers_.begin(), balancers_.end(), busy); ++i) run(5 * kS);
@@ -165,20 +165,20 @@
   }
 }
 
-Figures Town::since_last() {
+Figures SimulatedFleet::since_last() {
   for (Worker& w : workers_) advance(w);
   figures_.served = std::exchange(served_, 0);
   return std::exchange(figures_, {});
 }
 
-int Town::untold(std::size_t worker) const {
+int SimulatedFleet::untold(std::size_t worker) const {
   return static_cast<int>(std::count_if(balancers_.begin(), balancers_.end(),
                                         [&](const Balancing& b) { return !b.told.count(worker); }));
 }
 
 // ---- Clients -------------------------------------------------------------------------------------
 
-void Town::next_client() {
+void SimulatedFleet::next_client() {
   auto c = std::make_shared<Client>();
   c->number = next_number_++;
   c->request_class = static_cast<int>(arrivals_() % static_cast<std::uint64_t>(drawn_.classes));
@@ -198,7 +198,7 @@
   });
 }
 
-void Town::comes(std::shared_ptr<Client> client) {
+void SimulatedFleet::comes(std::shared_ptr<Client> client) {
   if (now_ >= client->until) return;
   std::uint64_t id = next_id_++;
   std::size_t b = client->balancer;
@@ -230,7 +230,7 @@
   tell(b, event);
 }
 
-void Town::again(std::shared_ptr<Client> client, Time after, bool broken) {
+void SimulatedFleet::again(std::shared_ptr<Client> client, Time after, bool broken) {
   if (broken) client->retries = 0, client->returned = true;
   if (!broken && client->retries++ >= drawn_.client_retries) return;
   client->balancer = chance_() % balancers_.size();
@@ -238,7 +238,7 @@
 }
 
 // What no balancer may heed: calls, attempts and workers that are not there or long over.
-void Town::nonsense(std::size_t b) {
+void SimulatedFleet::nonsense(std::size_t b) {
   std::uint64_t id = 1'000'000'000 + chance_() % 1000;
   if (!balancers_[b].ended.empty() && chance_() % 2) id = *balancers_[b].ended.begin();
   tell(b, ResultEvent{id, 0, false, "w1", 5 * kMs, Outcome::error, {0.9}});
@@ -251,18 +251,18 @@
 
 // ---- Balancers -----------------------------------------------------------------------------------
 
-Town::Call* Town::call(std::size_t balancer, std::uint64_t id) {
+SimulatedFleet::Call* SimulatedFleet::call(std::size_t balancer, std::uint64_t id) {
   auto it = balancers_[balancer].calls.find(id);
   return it == balancers_[balancer].calls.end() ? nullptr : &it->second;
 }
 
-void Town::tell(std::size_t balancer, const Event& event) {
+void SimulatedFleet::tell(std::size_t balancer, const Event& event) {
   std::vector<Action> actions;
   balancers_[balancer].policy->handle(now_, event, actions);
   for (const Action& action : actions) std::visit([&](const auto& a) { act(balancer, a); }, action);
 }
 
-void Town::act(std::size_t b, const Submit& action) {
+void SimulatedFleet::act(std::size_t b, const Submit& action) {
   Call* c = call(b, action.id);
   if (!c || c->answered || c->open) throw Wrong("an attempt for a call that is unknown or over");
   if (c->out) throw Wrong("two attempts at once");
@@ -285,7 +285,7 @@
   });
 }
 
-void Town::answer(std::size_t b, std::uint64_t id, Time pause) {
+void SimulatedFleet::answer(std::size_t b, std::uint64_t id, Time pause) {
   Call* c = call(b, id);
   if (!c || c->answered || c->open) throw Wrong("an answer for a call that is unknown or has one");
   if (now_ > c->deadline) throw Wrong("an answer past its call's time");
@@ -296,7 +296,7 @@
   if (!c->out) balancers_[b].calls.erase(id), balancers_[b].ended.insert(id);
 }
 
-void Town::act(std::size_t b, const Redirect& action) {
+void SimulatedFleet::act(std::size_t b, const Redirect& action) {
   Call* c = call(b, action.id);
   if (!c || !c->open || c->answered) throw Wrong("a move of a connection that does not stand");
   c->answered = true;
@@ -306,7 +306,7 @@
   at(now_ + kMs, [=, this] { result(b, id, attempt, Outcome::cancelled, true); });
 }
 
-void Town::act(std::size_t b, const Probe& action) {
+void SimulatedFleet::act(std::size_t b, const Probe& action) {
   if (!drawn_.may_probe) throw Wrong("a probe where none is allowed");
   figures_.probes += 1;
   std::size_t i = number(action.backend);
@@ -323,7 +323,7 @@
   });
 }
 
-void Town::act(std::size_t b, const Track&) {
+void SimulatedFleet::act(std::size_t b, const Track&) {
   if (!drawn_.ask) throw Wrong("a list asked for that is pushed");
   at(now_ + (registry_out_ ? 3 * kS : 20 * kMs), [=, this] {
     if (registry_out_) return tell(b, MembersEvent{ListForm::refused, nullptr});
@@ -340,7 +340,7 @@
   });
 }
 
-void Town::act(std::size_t b, const SetTimer& action) {
+void SimulatedFleet::act(std::size_t b, const SetTimer& action) {
   if (action.after <= 0) throw Wrong("a timer that is due at once");
   std::uint64_t cookie = action.cookie;
   at(now_ + action.after, [=, this] { tell(b, TimerEvent{cookie}); });
@@ -348,25 +348,25 @@
 
 // ---- Workers -------------------------------------------------------------------------------------
 
-double Town::level(const Worker& w) const {
-  double able = w.capacity * warm_part(w.started, now_, drawn_.cold_share, 20 * kS);
+double SimulatedFleet::level(const Worker& w) const {
+  double able = w.capacity * slow_start_factor(w.started, now_, drawn_.cold_share, 20 * kS);
   double shared = drawn_.groups ? 3 * static_cast<double>(w.groups.size()) : 0;
   return (w.load + shared) / able + w.extra.at(now_, kS) / 4;  // four cores
 }
 
 // Messages are in time up to a load of nine tenths, and none is at 1.2.
-void Town::advance(Worker& w) {
+void SimulatedFleet::advance(Worker& w) {
   double sound = std::clamp((1.2 - level(w)) / 0.3, 0.0, 1.0);
   if (!w.dead) served_ += w.worth * sound * static_cast<double>(now_ - w.advanced) / kS;
   w.advanced = now_;
 }
 
-LoadReport Town::report(Worker& w, bool with_result) {
+LoadReport SimulatedFleet::report(Worker& w, bool with_result) {
   bool given = drawn_.reports == ReportMode::all || (drawn_.reports == ReportMode::probes && !with_result);
   return given ? LoadReport{level(w) * (0.9 + 0.2 * uniform(chance_))} : LoadReport{};
 }
 
-void Town::reaches(std::size_t b, std::uint64_t id, int attempt) {
+void SimulatedFleet::reaches(std::size_t b, std::uint64_t id, int attempt) {
   Call* c = call(b, id);
   if (!c || !c->out || c->attempts != attempt + 1) return;
   Worker& w = workers_[c->worker];
@@ -385,7 +385,7 @@
   at(store_free_ + 2 * kMs, [=, this] { stands(b, id, attempt); });
 }
 
-void Town::stands(std::size_t b, std::uint64_t id, int attempt) {
+void SimulatedFleet::stands(std::size_t b, std::uint64_t id, int attempt) {
   Call* c = call(b, id);
   if (!c || !c->out || c->answered || c->attempts != attempt + 1) return;
   Worker& w = workers_[c->worker];
@@ -410,7 +410,7 @@
   });
 }
 
-void Town::result(std::size_t b, std::uint64_t id, int attempt, Outcome outcome, bool terminal) {
+void SimulatedFleet::result(std::size_t b, std::uint64_t id, int attempt, Outcome outcome, bool terminal) {
   Call* c = call(b, id);
   if (!c || !c->out || c->attempts != attempt + 1) return;
   Worker& w = workers_[c->worker];
@@ -435,12 +435,12 @@
 
 // ---- Troubles ------------------------------------------------------------------------------------
 
-void Town::errors(bool on, bool probes_too) {
+void SimulatedFleet::errors(bool on, bool probes_too) {
   errors_ = on, errors_on_probes_ = probes_too;
   if (on) storm_.assign(storm_.size(), {});
 }
 
-void Town::kill(std::size_t worker) {
+void SimulatedFleet::kill(std::size_t worker) {
   Worker& w = workers_[worker];
   advance(w);
   w.dead = true;
@@ -451,7 +451,7 @@
     }
 }
 
-void Town::revive(std::size_t worker) {
+void SimulatedFleet::revive(std::size_t worker) {
   Worker& w = workers_[worker];
   advance(w);
   w.dead = false;
@@ -459,12 +459,12 @@
   list_changed(worker);
 }
 
-void Town::drain(std::size_t worker) {
+void SimulatedFleet::drain(std::size_t worker) {
   workers_[worker].health = Health::draining;
   list_changed(worker);
 }
 
-void Town::registry(bool on) {
+void SimulatedFleet::registry(bool on) {
   registry_out_ = !on;
   for (std::size_t i = 0; on && !drawn_.ask && i < workers_.size(); ++i) list_changed(i);  // what was missed
   for (std::size_t b = 0; b < balancers_.size(); ++b)
@@ -473,7 +473,7 @@
 }
 
 // Told to each balancer in its own time, if it is reached by then.
-void Town::list_changed(std::size_t worker) {
+void SimulatedFleet::list_changed(std::size_t worker) {
   for (std::size_t b = 0; b < balancers_.size(); ++b)
     at(now_ + drawn_.list_lag + static_cast<Time>(chance_() % 200) * kMs, [=, this] {
       if (registry_out_ || (drawn_.ask && !balancers_[b].watches)) return;
@@ -486,12 +486,12 @@
     });
 }
 
-BackendEntry Town::entry(std::size_t worker) const {
+BackendEntry SimulatedFleet::entry(std::size_t worker) const {
   const Worker& w = workers_[worker];
   return {w.health, w.address, w.zone, w.started, w.scale, static_cast<std::int64_t>(worker / 4)};
 }
 
-std::size_t Town::number(const std::string& address) const {
+std::size_t SimulatedFleet::number(const std::string& address) const {
   for (std::size_t i = 0; i < workers_.size(); ++i)
     if (workers_[i].address == address) return i;
   throw Wrong("a worker that nobody named");
--- a/tests/settings/town.h
+++ b/tests/settings/simulated_fleet.h
@@ -1,5 +1,5 @@
 // Balancers' modules, clients, workers, a session store and a registry on one virtual clock. All is plain on
-// purpose: the town shares no rule with the module and holds it to what must be true under any settings.
+// purpose: the fleet shares no rule with the module and holds it to what must be true under any settings.
 #pragma once
 
 #include <functional>
@@ -11,8 +11,8 @@
 #include <stdexcept>
 #include <vector>
 
+#include "decay.h"
 #include "drawn.h"
-#include "fading.h"
 
 namespace marblehub::settings_play {
 
@@ -38,10 +38,11 @@
   }
 };
 
-class Town {
+class SimulatedFleet {
  public:
-  explicit Town(const Drawn& drawn, bool by_chance = false);  // by_chance: a random worker for each attempt
-  ~Town();
+  explicit SimulatedFleet(const Drawn& drawn,
+                          bool by_chance = false);  // by_chance: a random worker for each attempt
+  ~SimulatedFleet();
 
   void run(Time span);  // clients come all the while
   void end();           // none come any more: all is over after a while, and nothing may be owed
@@ -89,8 +90,8 @@
   void again(std::shared_ptr<Client> client, Time after, bool broken);
   void tell(std::size_t balancer, const Event& event);
   void act(std::size_t balancer, const Submit& action);
-  void act(std::size_t balancer, const Decline& action) { answer(balancer, action.id, action.pause); }
-  void act(std::size_t balancer, const Surrender& action) { answer(balancer, action.id, 0); }
+  void act(std::size_t balancer, const Reject& action) { answer(balancer, action.id, action.pause); }
+  void act(std::size_t balancer, const Fail& action) { answer(balancer, action.id, 0); }
   void act(std::size_t balancer, const Redirect& action);
   void act(std::size_t balancer, const Probe& action);
   void act(std::size_t balancer, const Track&);
--- a/tests/support/exchange_player.cpp
+++ b/tests/support/exchange_player.cpp
@@ -197,8 +197,8 @@
       if (verb == "probed") return until([&] { return probed(w); }, kPatience);
       if (verb == "drops") return drop_callless(w);
       if (verb == "full") fill_queue(w.fd, w.fillers);
-      if (verb == "room") make_queue_room(w.fd, w.fillers);
-      if (verb == "full" || verb == "room") w.accepts = verb == "room";
+      if (verb == "accept") drain_accept_queue(w.fd, w.fillers);
+      if (verb == "full" || verb == "accept") w.accepts = verb == "accept";
       return;
     }
     if (verb[0] == '>') rest = with_line_ends(rest);
@@ -389,8 +389,8 @@
     } else if (name == "full") {
       fill_queue(registry_fd_, registry_fillers_);
       registry_accepts_ = false;
-    } else if (name == "room") {
-      make_queue_room(registry_fd_, registry_fillers_);
+    } else if (name == "accept") {
+      drain_accept_queue(registry_fd_, registry_fillers_);
       registry_accepts_ = true;
     } else if (name == "within") {
       return until([&] { return registry_asked(); }, std::stoi(status));
@@ -484,7 +484,7 @@
       if (callless(c)) c->reset();
     std::erase_if(worker.all, [](const auto& c) { return c->fd < 0; });
   }
-  void make_queue_room(int listener, std::vector<std::unique_ptr<Conn>>& fillers) {
+  void drain_accept_queue(int listener, std::vector<std::unique_ptr<Conn>>& fillers) {
     ::listen(listener, 64);
     fillers.clear();
   }
--- a/tests/support/exchange_player.h
+++ b/tests/support/exchange_player.h
@@ -23,7 +23,7 @@
 //   c1 discards fin|rst [N]  the same, whatever has come before
 //   crowd N TEXT        N further clients connect and send TEXT; with no TEXT they send nothing
 //   W closed | W mute   refuses calls; answers no probe
-//   W full | W room     its listen queue is full, so that connects hang; takes connections again
+//   W full | W accept   its listen queue is full, so that connects hang; takes connections again
 //   W speaks            answers probes again, also those that are out
 //   W probed            a probe must have come that is not answered yet
 //   W drops             connections that have come and carry no call yet are reset
@@ -62,7 +62,7 @@
 //   ready N [MS]        N of the fellows have answered PING with PONG, within MS milliseconds
 //   exit N [MS]         the program must exit so, within MS milliseconds
 //   registry piece TEXT sent as it is, whether or not a call is out; ~address W~ is where worker W listens
-//   registry full|room  its listen queue is full, so that connects hang; takes connections again
+//   registry full|acceptits listen queue is full, so that connects hang; takes connections again
 //   registry within N   the next call must have come within N ms, counted from here; `asked` tells which it is
 //   registry joins N    so many connections have been taken by the registry, no more and no fewer
 //   registry ends fin|rst [N]  the program must end the connection of the call that is out like this
--- a/tests/support/module_bench.h
+++ b/tests/support/module_bench.h
@@ -20,7 +20,7 @@
     Settings s;
     s.zone = "a";
     s.max_attempts = 4;
-    s.max_pause_us = 1'000'000;
+    s.max_retry_after_us = 1'000'000;
     s.warm_within_us = 24'000'000;
     s.cold_share = 0.13;
     RequestClass c;
@@ -43,7 +43,7 @@
       }
       if (auto* probe = std::get_if<Probe>(&action)) probes.emplace_back(now, probe->backend);
       if (auto* sent = std::get_if<Submit>(&action)) placed[sent->id] = sent->backend;
-      if (auto* refusal = std::get_if<Decline>(&action)) declined.push_back(refusal->id);
+      if (auto* refusal = std::get_if<Reject>(&action)) declined.push_back(refusal->id);
       if (std::holds_alternative<Track>(action)) tracks.push_back(now);
     }
   }
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -68,8 +68,8 @@
 inline int connected(int port) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in to = loopback(port);
-  timeval patience{5, 0};  // a listen queue that is full lets nobody in
-  setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+  timeval send_timeout{5, 0};  // a listen queue that is full lets nobody in
+  setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
   if (::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0)
     throw std::runtime_error("no connection");
   return fd;
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -150,6 +150,8 @@
     if (kind == FileKind::log) log::level_from(options);
     if (kind == FileKind::fleet) fleet::settings_from(options, some_member(options));
     if (kind == FileKind::wallet) fleet::wallet_settings_from(options);
+    for (const auto& [former, current] : options.former_keys())
+      findings.warnings.push_back(fmt::format("{}: a former name; use {}", former, current));
     for (const std::string& key : options.unread())
       findings.warnings.push_back(fmt::format("{}: not a key that is read here", key));
   } catch (const DecodeError& error) {
