--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -1,8 +1,5 @@
 // A driver on its sockets: what strangers send it changes nothing, and each message counts once by its
 // reason.
-#include <arpa/inet.h>
-#include <sys/socket.h>
-#include <unistd.h>
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -11,29 +8,14 @@
 #include "changer.h"
 #include "fleet/net/driver.h"
 #include "fleet/view/message.h"
+#include "support/sockets.h"
 
 namespace marblehub::fleet::reading {
 namespace {
 
 const std::string kKey(32, 'k');
 
-sockaddr_in loopback(std::uint16_t port) {
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at.sin_port = htons(port);
-  return at;
-}
-
-std::uint16_t free_port() {
-  int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in at = loopback(0);
-  socklen_t size = sizeof at;
-  ::bind(fd, reinterpret_cast<sockaddr*>(&at), size);
-  ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-  ::close(fd);
-  return ntohs(at.sin_port);
-}
+std::uint16_t free_port() { return static_cast<std::uint16_t>(test::free_port(SOCK_STREAM)); }
 
 const char* const kWords[] = {"too_long", "cut", "other_fleet", "forged", "schema"};
 
@@ -118,7 +100,7 @@
   const std::uint64_t digest = alva.driver->node().view().digest();
   const std::uint64_t generation = alva.driver->node().view().generation();
   const int udp = ::socket(AF_INET, SOCK_DGRAM, 0);
-  const sockaddr_in to = loopback(alva.port);
+  const sockaddr_in to = test::loopback(alva.port);
   const auto send = [&](const std::string& octets) {
     REQUIRE(::sendto(udp, octets.data(), octets.size(), 0, reinterpret_cast<const sockaddr*>(&to),
                      sizeof to) == static_cast<ssize_t>(octets.size()));
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -1,12 +1,10 @@
-// The program under test, started as the platform starts it, and small sockets for its stand-in peers.
+// The program under test, started as the platform starts it.
 #pragma once
 
-#include <arpa/inet.h>
 #include <poll.h>
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/resource.h>
-#include <sys/socket.h>
 #include <sys/stat.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -22,6 +20,8 @@
 #include <stdexcept>
 #include <string>
 
+#include "support/sockets.h"
+
 namespace marblehub::test {
 
 using nlohmann::json;
@@ -31,56 +31,6 @@
   return duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-inline sockaddr_in loopback(int port = 0) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  a.sin_port = htons(static_cast<std::uint16_t>(port));
-  return a;
-}
-
-inline int port_of(int fd) {
-  sockaddr_in a{};
-  socklen_t size = sizeof a;
-  getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size);
-  return ntohs(a.sin_port);
-}
-
-inline std::string text_of(int port) { return "127.0.0.1:" + std::to_string(port); }
-
-// Each test process has a part of the loopback net to itself, so that a port there is free whenever it is
-// bound: one found free may be taken by a test beside before the program has it.
-inline std::string own_address(int member, int port) {
-  unsigned pid = static_cast<unsigned>(getpid());
-  return "127." + std::to_string(10 + pid / 256 % 240) + "." + std::to_string(pid % 256) + "." +
-         std::to_string(1 + member) + ":" + std::to_string(port);
-}
-
-// A socket bound to a free loopback port; type may carry SOCK_NONBLOCK.
-inline int bound(int type) {
-  int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
-  sockaddr_in a = loopback();
-  if (::bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) throw std::runtime_error("no free port");
-  return fd;
-}
-
-// A client's connection to a port of this machine.
-inline int connected(int port) {
-  int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in to = loopback(port);
-  timeval send_timeout{5, 0};  // a listen queue that is full lets nobody in
-  setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
-  if (::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0)
-    throw std::runtime_error("no connection");
-  return fd;
-}
-
-inline int free_port(int type) {
-  int fd = bound(type), port = port_of(fd);
-  ::close(fd);
-  return port;
-}
-
 inline json settings() {
   return {{"balancers", 1},
           {"me", 0},
