--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -33,9 +33,8 @@
 // ---- Settings, handed in once
 // ------------------------------------------------------------------------------
 
-enum class Repeat { safe, keyed, unsafe };    // what a second effect of the same request would do
-enum class DedupScope { all, zone, cell };    // keyed only: the backends that drop each other's repeats
-enum class ReportMode { none, probes, all };  // where load reports come from: nowhere, probes, every outcome
+enum class Repeat { safe, keyed, unsafe };  // what a second effect of the same request would do
+enum class DedupScope { all, zone, cell };  // keyed only: the backends that drop each other's repeats
 
 struct RequestClass {
   std::string name;
--- a/src/model/worker.cpp
+++ b/src/model/worker.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "decay.h"
+#include "policy/slow_start/factor.h"
 
 namespace marblehub::model {
 namespace {
--- /dev/null
+++ b/src/policy/context.h
@@ -0,0 +1,34 @@
+/// What all parts of the policy share: settings, the time of the event in hand, chance, and the actions it
+/// leads to.
+#pragma once
+
+#include <cstdint>
+#include <utility>
+#include <vector>
+
+#include "marblehub/policy.h"
+#include "policy/random_source.h"
+#include "policy/time_units.h"
+
+namespace marblehub::policy {
+
+struct Context {
+  Context(Settings its_settings, std::uint64_t seed, Time at)
+      : settings(std::move(its_settings)), random(seed), now(at), started_at(at) {}
+
+  /// Appends an action. Only while an event is handled.
+  template <class Kind>
+  void emit(Kind action) {
+    actions->emplace_back(std::in_place_type<Kind>, std::move(action));
+  }
+
+  double seconds_served() const { return static_cast<double>(now - started_at) / kSecond; }
+
+  Settings settings;
+  RandomSource random;
+  Time now;
+  const Time started_at;
+  std::vector<Action>* actions = nullptr;  // of the event in hand; the caller's
+};
+
+}  // namespace marblehub::policy
--- /dev/null
+++ b/src/policy/discovery/endpoint_list.cpp
@@ -0,0 +1,74 @@
+#include "policy/discovery/endpoint_list.h"
+
+#include <algorithm>
+
+#include "policy/health/intervals.h"
+
+namespace marblehub::policy {
+namespace {
+
+// The longest backoff: service discovery that is back has to be heard within 6 s.
+constexpr Time kLongestBackoff = 3500 * kMillisecond;
+
+// All balancers start in step: the first calls are spread over so long.
+constexpr Time kFirstCallSpread = 4 * kSecond;
+
+}  // namespace
+
+void EndpointList::on(const MembersEvent& event) {
+  call_in_flight_ = false;
+  if (event.form == ListForm::refused) return call_failed();
+  if (event.form == ListForm::remembered) {
+    next_call_at_ = context_.now + context_.random.up_to(kFirstCallSpread);
+  } else {
+    watching_ = true;
+    backoff_ = kSecond;
+  }
+  if (event.form != ListForm::changes)
+    for (Backend& backend : backends_) backend.listed = false;
+  if (event.entries)
+    for (const BackendEntry& entry : *event.entries) apply(entry);
+  note_leaving();
+  choose_sample(context_.settings, backends_);
+}
+
+// Service discovery is one scarce service for all: each call waits longer than the one before, and not in
+// step.
+void EndpointList::call_failed() {
+  watching_ = false;
+  Time after_last_call = called_at_ + context_.random.jittered(backoff_);
+  Time from_now = context_.now + context_.random.jittered(kSecond);
+  next_call_at_ = std::max(from_now, after_last_call);
+  backoff_ = std::min(2 * backoff_, kLongestBackoff);
+}
+
+void EndpointList::apply(const BackendEntry& entry) {
+  auto [backend, added] = backends_.find_or_add(entry.address);
+  if (added) backend->probe_due = context_.now + context_.random.up_to(kRecheckInterval);
+  backend->update_from(entry);
+  if (entry.start_time <= backend->listed_start) return;
+  // It has restarted: what was known of the old process is void.
+  backend->listed_start = entry.start_time;
+  backend->start_warming(entry.start_time, false);
+  backend->mark_up();
+  backend->clear_delays();
+}
+
+void EndpointList::note_leaving() {
+  for (Backend& backend : backends_) {
+    bool stays = backend.listed && !backend.draining;
+    if (stays)
+      backend.leaving_since = -1;
+    else if (backend.leaving_since < 0)
+      backend.leaving_since = context_.now;
+  }
+}
+
+void EndpointList::poll() {
+  if (!context_.settings.ask_registry || watching_ || call_in_flight_ || context_.now < next_call_at_) return;
+  call_in_flight_ = true;
+  called_at_ = context_.now;
+  context_.emit(Track{});
+}
+
+}  // namespace marblehub::policy
--- /dev/null
+++ b/src/policy/discovery/fleet_sample.cpp
@@ -0,0 +1,51 @@
+#include "policy/discovery/fleet_sample.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace marblehub::policy {
+namespace {
+
+constexpr double kFewestSampled = 12;     // backends: enough to lose a third and still choose in every zone
+constexpr double kBalancersABackend = 8;  // enough that one balancer's crowd does not fill a backend
+constexpr double kGoldenRatio =
+    0.6180339887;  // as a step: any run of neighbouring balancers is spread evenly
+
+std::vector<int> listed_by_zone(const BackendTable& backends) {
+  std::vector<int> listed;
+  for (int index : backends.all())
+    if (backends[index].listed) listed.push_back(index);
+  std::sort(listed.begin(), listed.end(), [&](int one, int other) {
+    const Backend& a = backends[one];
+    const Backend& b = backends[other];
+    return a.zone != b.zone ? a.zone < b.zone : a.address < b.address;
+  });
+  return listed;
+}
+
+double sampled_part(const Settings& settings, std::size_t listed) {
+  // A group's backends are chosen from all, or each balancer would have its own.
+  if (settings.groups) return 1;
+  return std::max(kFewestSampled / static_cast<double>(listed), kBalancersABackend / settings.balancers);
+}
+
+}  // namespace
+
+void choose_sample(const Settings& settings, BackendTable& backends) {
+  const std::vector<int> listed = listed_by_zone(backends);
+  const double part = sampled_part(settings, listed.size());
+  const double step = settings.me * kGoldenRatio;
+  std::vector<int>& sampled = backends.sampled();
+  sampled.clear();
+  for (std::size_t from = 0, to = 0; from < listed.size(); from = to) {
+    while (to < listed.size() && backends[listed[to]].zone == backends[listed[from]].zone) ++to;
+    for (std::size_t i = from; i < to; ++i) {
+      double position = (static_cast<double>(i - from) + 0.5) / static_cast<double>(to - from) + step;
+      Backend& backend = backends[listed[i]];
+      backend.sampled = position - std::floor(position) < part;
+      if (backend.sampled) sampled.push_back(listed[i]);
+    }
+  }
+}
+
+}  // namespace marblehub::policy
--- /dev/null
+++ b/src/policy/health/delay_signals.cpp
@@ -0,0 +1,42 @@
+#include "policy/health/delay_signals.h"
+
+#include "policy/load_levels.h"
+
+namespace marblehub::policy {
+namespace {
+
+constexpr double kObjectiveWhereNoneIsStatedMs = 50;
+// A message waits 0.4 of the objective at a load of 0.85 and all of it at 0.93.
+constexpr double kWaitShare = 0.07;
+constexpr double kLeastSpare = 0.05;
+// One whose report says that messages come late is checked again so soon.
+constexpr Time kLateRecheck = 500 * kMillisecond;
+
+double shortest_objective_in(const Settings& settings) {
+  Time shortest = 0;
+  for (const RequestClass& request_class : settings.classes) {
+    Time objective = request_class.message_aim_us;
+    if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
+  }
+  return shortest > 0 ? static_cast<double>(shortest) / 1000 : kObjectiveWhereNoneIsStatedMs;
+}
+
+}  // namespace
+
+DelaySignals::DelaySignals(Context& context)
+    : context_(context), shortest_objective_ms_(shortest_objective_in(context.settings)) {}
+
+void DelaySignals::take_report(Backend& backend, const LoadReport& report) const {
+  if (report.load < 0) return;
+  const Time now = context_.now;
+  backend.utilization = report.load;
+  backend.report_at = now;
+  // Waiting grows as spare capacity vanishes.
+  double wait = shortest_objective_ms_ * kWaitShare * report.load / std::max(kLeastSpare, 1 - report.load);
+  backend.reported_delay.set(capped(wait), now);
+  // On sockets no message tells of its delay; only the next report says whether migration has helped.
+  if (backend.reported_delay.value >= kMigrationThreshold * shortest_objective_ms_)
+    backend.probe_due = std::min(backend.probe_due, now + context_.random.jittered(kLateRecheck));
+}
+
+}  // namespace marblehub::policy
--- /dev/null
+++ b/src/policy/migration/migration.h
@@ -0,0 +1,37 @@
+/// Migration: which standing connections leave their backend, and when. One earns nothing on a backend that
+/// is down, or whose messages come later than wanted.
+#pragma once
+
+#include <vector>
+
+#include "policy/context.h"
+#include "policy/health/delay_signals.h"
+#include "policy/requests/admission.h"
+#include "policy/state/backend_table.h"
+#include "policy/state/request_table.h"
+
+namespace marblehub::policy {
+
+class Migration {
+ public:
+  Migration(Context& context, const BackendTable& backends, const DelaySignals& delays,
+            const Admission& admission, RequestTable& requests)
+      : context_(context), backends_(backends), delays_(delays), admission_(admission), requests_(requests) {}
+
+  /// Redirects the connections that leave in this sweep.
+  void redirect_leaving();
+
+ private:
+  bool in_trouble(const Backend& backend) const;
+  bool leaves(const Request& request);
+  bool leaves_draining(const Backend& backend);
+  bool capacity_elsewhere() const;
+
+  Context& context_;
+  const BackendTable& backends_;
+  const DelaySignals& delays_;
+  const Admission& admission_;
+  RequestTable& requests_;
+};
+
+}  // namespace marblehub::policy
--- /dev/null
+++ b/src/policy/state/backend_table.h
@@ -0,0 +1,64 @@
+/// All backends that the endpoint list has named. It never shrinks: an index stays good for the balancer's
+/// life.
+#pragma once
+
+#include <string>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "policy/state/backend.h"
+
+namespace marblehub::policy {
+
+inline constexpr int kNoBackend = -1;
+
+class BackendTable {
+ public:
+  /// The backend's index, or kNoBackend.
+  int find(const std::string& address) const {
+    auto it = index_.find(address);
+    return it == index_.end() ? kNoBackend : it->second;
+  }
+
+  /// The backend of that address, and whether it has just been added.
+  std::pair<Backend*, bool> find_or_add(const std::string& address) {
+    auto [it, added] = index_.try_emplace(address, static_cast<int>(backends_.size()));
+    if (added) {
+      all_.push_back(it->second);
+      backends_.emplace_back();
+      backends_.back().address = address;
+      backends_.back().hash = mixed(name_hash(address));
+    }
+    return {&backends_[static_cast<std::size_t>(it->second)], added};
+  }
+
+  Backend& operator[](int index) { return backends_[static_cast<std::size_t>(index)]; }
+  const Backend& operator[](int index) const { return backends_[static_cast<std::size_t>(index)]; }
+  std::size_t size() const { return backends_.size(); }
+  auto begin() { return backends_.begin(); }
+  auto begin() const { return backends_.begin(); }
+  auto end() { return backends_.end(); }
+  auto end() const { return backends_.end(); }
+
+  /// Indices of all backends.
+  const std::vector<int>& all() const { return all_; }
+
+  /// Indices of the sampled backends, in any order: a draw may reorder them.
+  std::vector<int>& sampled() { return sampled_; }
+
+  /// Addresses of the listed backends that are marked down.
+  std::vector<std::string> down() const {
+    std::vector<std::string> addresses;
+    for (const Backend& backend : backends_)
+      if (backend.listed && backend.down) addresses.push_back(backend.address);
+    return addresses;
+  }
+
+ private:
+  std::vector<Backend> backends_;
+  std::unordered_map<std::string, int> index_;
+  std::vector<int> all_, sampled_;
+};
+
+}  // namespace marblehub::policy
--- a/src/rebalance/planner.cpp
+++ b/src/rebalance/planner.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "policy/slow_start/factor.h"
+
 namespace marblehub::rebalance {
 namespace {
 
--- a/src/rebalance/planner.h
+++ b/src/rebalance/planner.h
@@ -15,7 +15,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "decay.h"
+#include "policy/state/decaying_value.h"
 #include "rebalance/settings.h"
 
 namespace marblehub::rebalance {
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <random>
 
-#include "decay.h"
+#include "policy/slow_start/factor.h"
 #include "support/module_bench.h"
 
 namespace marblehub::test {
--- a/tests/settings/drawn.h
+++ b/tests/settings/drawn.h
@@ -13,6 +13,9 @@
 
 using namespace marblehub::policy;
 
+// Where load reports come from.
+enum class ReportMode { none, probes, all };
+
 struct Drawn {
   // Told to the module
   int balancers = 3, zones = 3, attempts = 4, classes = 1;
--- a/tests/settings/simulated_fleet.h
+++ b/tests/settings/simulated_fleet.h
@@ -11,8 +11,9 @@
 #include <stdexcept>
 #include <vector>
 
-#include "decay.h"
 #include "drawn.h"
+#include "policy/slow_start/factor.h"
+#include "policy/state/decaying_value.h"
 
 namespace marblehub::settings_play {
 
