--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -164,9 +164,9 @@
   std::string backend;
   Time not_past = 0;
 };
-struct Reject {  // final answer: refused, trying again is harmless; pause 0: no hint
+struct Reject {  // final answer: rejected, trying again is harmless; retry_after 0: no hint
   std::uint64_t id = 0;
-  Time pause = 0;
+  Time retry_after = 0;
 };
 struct Fail {  // final answer: failed, promising nothing
   std::uint64_t id = 0;
--- /dev/null
+++ b/src/core/dispatcher_counters.cpp
@@ -0,0 +1,54 @@
+#include "core/dispatcher_counters.h"
+
+#include <array>
+
+namespace marblehub::core {
+namespace {
+
+// By Outcome.
+constexpr std::array<const char*, 8> kOutcomeNames = {"served",         "error", "full",      "timeout",
+                                                      "connect_failed", "reset", "cancelled", "not_sent"};
+
+Counter& answers(Counters& counters, const char* answer) {
+  return counters.counter("marblehub_answers_total", "Final answers to clients", {{"answer", answer}});
+}
+
+}  // namespace
+
+const char* name_of(Outcome outcome) { return kOutcomeNames[static_cast<std::size_t>(outcome)]; }
+
+DispatcherCounters::DispatcherCounters(Counters& counters)
+    : calls(counters.counter("marblehub_calls_total", "Calls taken from clients")),
+      adopted(counters.counter("marblehub_adopted_total",
+                               "Standing connections taken over from another balancer")),
+      served(answers(counters, "served")),
+      rejected(answers(counters, "overload")),
+      failed(answers(counters, "failed")),
+      clients_left(
+          counters.counter("marblehub_clients_left_total", "Clients that left before they were answered")),
+      deadline_answers(
+          counters.counter("marblehub_deadline_answers_total", "Calls answered only at their deadline")),
+      attempts(counters.counter("marblehub_attempts_total", "Attempts begun")),
+      moves(counters.counter("marblehub_moves_total", "Clients told to move")),
+      silent_moves(
+          counters.counter("marblehub_silent_moves_total", "Clients moved because their worker fell silent")),
+      slow_notes(counters.counter("marblehub_slow_message_notes_total",
+                                  "Notes that messages at a worker take long, or no longer do")),
+      probes(counters.counter("marblehub_probes_total", "Probes sent")),
+      lists(counters.counter("marblehub_registry_answers_total", "Lists and changes told by the registry")),
+      list_failures(counters.counter("marblehub_registry_failures_total", "Registry calls that failed")),
+      drain_stops(counters.counter("marblehub_drain_stops_total",
+                                   "Attempts stopped because their worker had begun to leave")),
+      standing(counters.gauge("marblehub_connections", "Connections that stand")),
+      waiting(counters.gauge("marblehub_calls_waiting", "Calls not yet answered")),
+      workers_down(counters.gauge("marblehub_workers_down", "Listed workers marked down")) {
+  for (const char* name : kOutcomeNames)
+    attempt_results_.push_back(&counters.counter("marblehub_attempt_results_total",
+                                                 "How attempts ended, standing ones included",
+                                                 {{"outcome", name}}));
+  for (const char* name : kOutcomeNames)
+    probe_results_.push_back(
+        &counters.counter("marblehub_probe_results_total", "How probes ended", {{"outcome", name}}));
+}
+
+}  // namespace marblehub::core
--- /dev/null
+++ b/src/core/dispatcher_counters.h
@@ -0,0 +1,28 @@
+/// What the dispatcher counts.
+#pragma once
+
+#include <vector>
+
+#include "core/counters.h"
+#include "core/ports.h"
+
+namespace marblehub::core {
+
+/// As metrics and log lines say it.
+const char* name_of(Outcome outcome);
+
+struct DispatcherCounters {
+  explicit DispatcherCounters(Counters& counters);
+
+  Counter& attempt_result(Outcome outcome) { return *attempt_results_[static_cast<std::size_t>(outcome)]; }
+  Counter& probe_result(Outcome outcome) { return *probe_results_[static_cast<std::size_t>(outcome)]; }
+
+  Counter &calls, &adopted, &served, &rejected, &failed, &clients_left, &deadline_answers, &attempts, &moves,
+      &silent_moves, &slow_notes, &probes, &lists, &list_failures, &drain_stops;
+  Counter &standing, &waiting, &workers_down;  // gauges
+
+ private:
+  std::vector<Counter*> attempt_results_, probe_results_;  // by Outcome
+};
+
+}  // namespace marblehub::core
--- /dev/null
+++ b/src/core/dispatcher_policy.cpp
@@ -0,0 +1,118 @@
+// What the dispatcher tells the policy, and how it carries out what the policy decides.
+#include <algorithm>
+#include <memory>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "core/dispatcher.h"
+#include "log/log.h"
+
+namespace marblehub::core {
+namespace {
+
+using namespace marblehub::policy;
+
+constexpr Time kMillisecond = 1000;
+
+}  // namespace
+
+// ---- Probes and lists --------------------------------------------------------------------------------
+
+void Dispatcher::probe_result(const std::string& worker, Time rtt, Outcome outcome,
+                              const LoadReport& report) {
+  counters_.probe_result(outcome).add();
+  log::debug("probe of {}: {} after {} ms, load {:.2f}", worker, name_of(outcome), rtt / kMillisecond,
+             report.load);
+  if (watch_ && report.load >= 0) watch_->reported(worker, report.load);
+  notify(ProbeResultEvent{worker, rtt, outcome, report});
+}
+
+void Dispatcher::list_received(const config::WorkerList& list) {
+  counters_.lists.add();
+  update_list(list.snapshot ? ListForm::all : ListForm::changes, list);
+}
+
+void Dispatcher::list_failed() {
+  counters_.list_failures.add();
+  notify(MembersEvent{ListForm::refused, nullptr});
+}
+
+void Dispatcher::update_list(ListForm form, const config::WorkerList& list) {
+  if (watch_) watch_->members(list);
+  if (gate_) gate_->members(list);
+  // It counts as told once it has been written, which a process that was held up finds out late.
+  Time written_at = waiting_since_ > 0 ? waiting_since_ : now();
+  workers_.update(list, written_at, now());
+  auto entries = std::make_shared<std::vector<BackendEntry>>();
+  for (const config::WorkerEntry& worker : list.workers) entries->push_back(worker.backend);
+  notify(MembersEvent{form, std::move(entries)});
+}
+
+// ---- The policy --------------------------------------------------------------------------------------
+
+RequestEvent Dispatcher::request_of(const Exchange& exchange) const {
+  const Call& call = exchange.call();
+  return {exchange.id_,  call.request_class, call.expires_in, call.load_hint,
+          call.returned, call.group,         exchange.only_};
+}
+
+ResultEvent Dispatcher::result_of(const Exchange& exchange, Outcome outcome, const LoadReport& report,
+                                  bool terminal) const {
+  return {
+      exchange.id_, exchange.attempts_ - 1, terminal, exchange.worker_, now() - exchange.sent_at_, outcome,
+      report};
+}
+
+void Dispatcher::notify(Event event) {
+  events_.push_back(std::move(event));
+  handle_events();
+}
+
+// An action may at once lead to further events; they wait their turn here instead of nesting.
+void Dispatcher::handle_events() {
+  if (handling_events_) return;
+  handling_events_ = true;
+  std::vector<Action> actions;
+  while (!events_.empty()) {
+    Event event = std::move(events_.front());
+    events_.pop_front();
+    actions.clear();
+    balancer_.handle(now(), event, actions);
+    for (const Action& action : actions) std::visit([this](const auto& kind) { carry_out(kind); }, action);
+  }
+  handling_events_ = false;
+}
+
+void Dispatcher::carry_out(const Submit& action) {
+  Exchange* exchange = find_waiting(action.id);
+  if (!exchange || exchange->attempt_) return;
+  begin_attempt(*exchange, action.backend, std::max<Time>(kMillisecond, action.not_past - now()));
+}
+
+void Dispatcher::carry_out(const Reject& action) {
+  if (Exchange* exchange = find_waiting(action.id))
+    answer_and_close(*exchange, Answer::overload, action.retry_after);
+}
+
+void Dispatcher::carry_out(const Fail& action) {
+  if (Exchange* exchange = find_waiting(action.id)) answer_and_close(*exchange, Answer::failed, 0);
+}
+
+void Dispatcher::carry_out(const Redirect& action) {
+  if (Exchange* exchange = find(action.id)) exchange->redirect();
+}
+
+void Dispatcher::carry_out(const Probe& action) {
+  counters_.probes.add();
+  log::debug("probe to {}", action.backend);
+  prober_.probe(action.backend, workers_.address_of(action.backend));
+}
+
+void Dispatcher::carry_out(const Track&) { registry_.track(); }
+
+void Dispatcher::carry_out(const SetTimer& action) {
+  timers_.push({now() + action.after, TimerKind::policy, action.cookie});
+}
+
+}  // namespace marblehub::core
--- /dev/null
+++ b/src/core/dispatcher_timers.cpp
@@ -0,0 +1,127 @@
+// What the dispatcher does when a timer is due, and when the program restarts.
+#include <cstdint>
+#include <vector>
+
+#include "core/dispatcher.h"
+#include "log/log.h"
+
+namespace marblehub::core {
+namespace {
+
+using namespace marblehub::policy;
+
+constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
+
+}  // namespace
+
+// ---- Time --------------------------------------------------------------------------------------------
+
+Time Dispatcher::next_due() const { return timers_.next_due().value_or(now() + kSecond); }
+
+void Dispatcher::advance() {
+  const Time until = now();
+  while (auto timer = timers_.pop_due(until)) expire(*timer);
+}
+
+void Dispatcher::expire(const Timer& timer) {
+  if (timer.kind == TimerKind::policy) return notify(TimerEvent{timer.id});
+  if (timer.kind == TimerKind::monitor) return monitor();
+  if (timer.kind == TimerKind::move) {
+    if (Exchange* exchange = find(timer.id)) exchange->redirect();
+    return;
+  }
+  Exchange* exchange = find_waiting(timer.id);
+  if (!exchange) return;
+  if (timer.kind == TimerKind::handover) return hand_over_again(*exchange);
+  if (timer.kind == TimerKind::attempt) return attempt_timed_out(*exchange, timer.attempt);
+  deadline_passed(*exchange);
+}
+
+void Dispatcher::attempt_timed_out(Exchange& exchange, int attempt) {
+  if (!exchange.attempt_ || exchange.attempts_ - 1 != attempt) return;
+  bool worker_to_blame = exchange.attempt_->silence_tells();
+  exchange.drop_attempt();  // first: no two attempts may be in flight at once
+  attempt_over(exchange, worker_to_blame ? Outcome::timeout : Outcome::not_sent, {}, false);
+}
+
+// The policy answers well before the deadline; should it ever not, the client is owed its answer still.
+void Dispatcher::deadline_passed(Exchange& exchange) {
+  counters_.deadline_answers.add();
+  std::uint64_t id = exchange.id_;
+  answer_and_close(exchange, Answer::overload, 0);
+  notify(ClientGoneEvent{id});
+}
+
+void Dispatcher::monitor() {
+  MessageMonitor::Schedule schedule = messages_.schedule(now());
+  if (schedule.look) look_at_messages();
+  if (gate_) follow_gate();
+  timers_.push({now() + schedule.next_in, TimerKind::monitor});
+}
+
+void Dispatcher::look_at_messages() {
+  // What the policy does on hearing of one may end others: no walk over the calls meanwhile.
+  MessageMonitor::Findings findings = messages_.look(calls_, now());
+  counters_.silent_moves.add(static_cast<double>(findings.newly_silent));
+  for (const auto& [id, waited] : findings.late)
+    if (Exchange* exchange = find(id)) message_answered(*exchange, waited);
+  for (std::uint64_t id : findings.silent)
+    if (Exchange* exchange = find(id)) exchange->redirect();
+  for (std::uint64_t id : findings.stopped)
+    if (Exchange* exchange = find(id)) exchange->redirect_now();
+  counters_.standing.set(static_cast<double>(standing()));
+  counters_.waiting.set(static_cast<double>(unanswered_));
+  counters_.workers_down.set(static_cast<double>(balancer_.down().size()));
+}
+
+// A message of this call has been answered after so long, or waits for its answer since.
+void Dispatcher::message_answered(Exchange& exchange, Time delay) {
+  if (!messages_.is_news(exchange.worker_, delay, now())) return;
+  log::debug("messages at {} take {} ms", exchange.worker_, delay / kMillisecond);
+  counters_.slow_notes.add();
+  notify(NoteEvent{exchange.id_, exchange.attempts_ - 1, NoteKind::messages_slow,
+                   static_cast<double>(delay) / kMillisecond});
+}
+
+void Dispatcher::load_changed(Exchange& exchange, double load) {
+  if (watch_) watch_->load_is(exchange.id_, load);
+  notify(NoteEvent{exchange.id_, exchange.attempts_ - 1, NoteKind::load_changed, load});
+}
+
+// What the policy hears of the fleet beside its list, and the gate of the workers.
+void Dispatcher::follow_gate() {
+  int balancers = gate_->balancers();
+  if (balancers > 0 && balancers != shared_by_) {
+    shared_by_ = balancers;
+    balancer_.shared_by(balancers);
+  }
+  gate_->down(balancer_.down());
+}
+
+// ---- A planned restart -------------------------------------------------------------------------------
+
+void Dispatcher::end_all() {
+  std::vector<std::uint64_t> ids;
+  for (auto& [id, exchange] : calls_) ids.push_back(id);
+  for (std::uint64_t id : ids) {
+    Exchange* exchange = find(id);
+    if (!exchange) continue;
+    if (exchange->state_ == Exchange::State::waiting) {
+      answer_and_close(*exchange, Answer::overload, 0);
+    } else {
+      exchange->redirect_now();  // inside a message too: what is held at the exit is cut off with no word
+    }
+  }
+}
+
+void Dispatcher::retire(Time span) {
+  std::vector<std::uint64_t> ids;
+  for (auto& [id, exchange] : calls_)
+    if (exchange->standing()) ids.push_back(id);
+  for (std::size_t i = 0; i < ids.size(); ++i) {
+    Time after = span * static_cast<Time>(i) / static_cast<Time>(ids.size());
+    timers_.push({now() + after, TimerKind::move, ids[i]});
+  }
+}
+
+}  // namespace marblehub::core
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -21,7 +21,7 @@
 
 void Exchange::client_sent(const Piece& piece) {
   if (state_ != State::standing || !attempt_) return;
-  if (unanswered_.empty() && piece.messages > 0) dispatcher_.has_open_business(*this);
+  if (unanswered_.empty() && piece.messages > 0) dispatcher_.watch_messages(*this);
   for (int i = 0; i < piece.messages && unanswered_.size() < kMessagesTimed; ++i)
     unanswered_.push_back(dispatcher_.now());
   attempt_->deliver(piece.bytes);
@@ -36,7 +36,7 @@
     attempt_->finish(ending);
     drop_attempt();
   }
-  dispatcher_.left(*this, stood);
+  dispatcher_.client_left(*this, stood);
 }
 
 void Exchange::client_full(bool on) {
@@ -60,7 +60,7 @@
   for (int i = 0; i < piece.messages && !unanswered_.empty(); ++i) {
     Time delay = dispatcher_.now() - unanswered_.front();
     unanswered_.erase(unanswered_.begin());
-    dispatcher_.message_took(*this, delay);
+    dispatcher_.message_answered(*this, delay);
     if (state_ != State::standing) return;  // the module has moved this client on hearing it
   }
   if (moving_ && client_between_) redirect_now();
@@ -107,10 +107,10 @@
   client_ = nullptr;
 }
 
-bool Exchange::rest_overdue() const { return moving_ && dispatcher_.now() - moving_since_ > kMidLineBound; }
+bool Exchange::move_overdue() const { return moving_ && dispatcher_.now() - moving_since_ > kMidLineBound; }
 
 // By what has been read: after a stall of the process the rest may lie in the socket.
-bool Exchange::stopped_inside_a_line() const {
+bool Exchange::stopped_inside_a_message() const {
   return !client_between_ && dispatcher_.now() - heard_at_ > kMidLineBound;
 }
 
@@ -119,7 +119,7 @@
   if (state_ != State::standing || moving_) return;
   if (client_between_) return redirect_now();
   moving_ = true;
-  dispatcher_.has_open_business(*this);
+  dispatcher_.watch_messages(*this);
   moving_since_ = dispatcher_.now();
 }
 
--- a/src/core/exchange.h
+++ b/src/core/exchange.h
@@ -1,8 +1,11 @@
-// The one object where the client's side and the worker's side of a call meet. It sees to it that the client
-// gets exactly one answer and that no two attempts are out at once.
+/// The one object where the client's side and the worker's side of a call meet. It sees to it that the client
+/// gets exactly one answer and that no two attempts are in flight at once.
 #pragma once
 
+#include <cstdint>
+#include <map>
 #include <memory>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -12,6 +15,7 @@
 
 class Dispatcher;
 
+/// What a client asks for, as its front has read it.
 struct Call {
   int request_class = 0;
   Time expires_in = 0;
@@ -23,6 +27,7 @@
   std::string handed_to;     // the worker that holds it since before the start; else empty
 };
 
+/// Owned by the dispatcher; refers to the front's two sides, and owns the attempt in flight.
 class Exchange {
  public:
   Exchange(Dispatcher& dispatcher, std::uint64_t id, Call call, ClientSide& client, WorkerSide& workers,
@@ -31,6 +36,16 @@
   std::uint64_t id() const { return id_; }
   const Call& call() const { return call_; }
 
+  // ---- How it stands.
+  bool standing() const { return state_ == State::standing; }
+  bool moving() const { return moving_; }  // to be told to move once the stream is between two messages
+  bool move_overdue() const;               // the message that the move waits for does not end
+  bool awaits_answer() const { return !unanswered_.empty(); }
+  Time unanswered_since() const {
+    return unanswered_.front();
+  }                                       // the oldest message; only if awaits_answer()
+  bool stopped_inside_a_message() const;  // whether or not it is to move
+
   // ---- From the client's side. After client_left the exchange calls it no more.
   void client_sent(const Piece& piece);
   void client_left(Ending ending);
@@ -54,8 +69,6 @@
   void answer_failed(std::string_view words);
   void redirect();
   void redirect_now();
-  bool rest_overdue() const;           // of the line that a move waits for
-  bool stopped_inside_a_line() const;  // whether or not it is to move
   void drop_attempt() { attempt_.reset(); }
 
   Dispatcher& dispatcher_;
@@ -66,7 +79,7 @@
   std::unique_ptr<Attempt> attempt_;
   State state_ = State::waiting;
   int attempts_ = 0;
-  int handed_tries_ = 0;
+  int handover_attempts_ = 0;
   bool withheld_ = false;  // the module's latest attempt was not begun: the client has left, and is read soon
   std::shared_ptr<const std::set<std::string>> only_;  // workers it may use; none: any
   std::string worker_, address_;                       // of the latest attempt
@@ -80,4 +93,7 @@
   std::vector<Time> unanswered_;
 };
 
+/// By call id.
+using Exchanges = std::map<std::uint64_t, std::unique_ptr<Exchange>>;
+
 }  // namespace marblehub::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,12 +1,10 @@
-// What the core asks of the world round it. A front implements the client's and the worker's side of a call;
-// the core knows neither descriptors nor wires nor the event loop.
+/// What the core asks of its surroundings. A front implements the client's and the worker's side of a call;
+/// the core knows neither descriptors nor wires nor the event loop.
 #pragma once
 
 #include <memory>
-#include <set>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "config/json.h"
 #include "marblehub/policy.h"
@@ -85,45 +83,4 @@
   virtual void track() = 0;
 };
 
-struct Call;
-
-// What may refuse a call before the module sees it, and which workers the module may choose among. Told of
-// each call once: it is entered, and once it is over by whatever way it is left; stands between, where it
-// came to that.
-class CallGate {
- public:
-  struct Verdict {
-    bool refused = false;
-    Time pause = 0;                                     // told to the client that is refused
-    std::shared_ptr<const std::set<std::string>> only;  // names of workers; none: any
-  };
-  virtual ~CallGate() = default;
-  virtual Verdict entered(std::uint64_t id, const Call& call) = 0;
-  virtual void stands(std::uint64_t id) = 0;
-  virtual void left(std::uint64_t id) = 0;  // an id may be unknown
-  virtual void members(const config::WorkerList& list) = 0;
-  // By how many balancers the fleet's budgets are shared, asked five times a second; 0: as the settings say.
-  virtual int balancers() = 0;
-  virtual void down(const std::vector<std::string>& workers) = 0;  // as the module has them, as often
-  // Whether a connection that stands at this worker is where its call might be placed now. An answer may
-  // change only when `changes` has grown; 0: it is always so.
-  virtual bool belongs(const Call& call, const std::string& worker) = 0;
-  virtual std::uint64_t changes() = 0;
-};
-
-// Who follows what stands where, beside the module: a planner of moves. Told after the fact, from within the
-// dispatcher; it must not call back from there.
-class StandingWatch {
- public:
-  virtual ~StandingWatch() = default;
-  // A connection stands. `found`: it stood before this balancer learnt of it, so its age is not known.
-  virtual void stands(std::uint64_t id, const std::string& worker, const Call& call, bool found) = 0;
-  virtual void load_is(std::uint64_t id, double load) = 0;  // work a second, in microseconds
-  virtual void gone(std::uint64_t id) = 0;                  // ended, moved or left; an id may be unknown
-  virtual void reported(const std::string& worker, double load) = 0;  // of its capacity
-  virtual void members(const config::WorkerList& list) = 0;
-  virtual void answered(bool refused) = 0;  // a call has had its final answer
-  virtual void told_to_move() = 0;          // a client, by whomever
-};
-
 }  // namespace marblehub::core
--- a/src/fleet/net/gate.h
+++ b/src/fleet/net/gate.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/settings.h"
+#include "fleet/settings/settings.h"
 #include "fleet/time.h"
 #include "fleet/wire/envelope.h"
 
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "fleet/record/command.h"
-#include "fleet/settings.h"
+#include "fleet/settings/settings.h"
 
 namespace marblehub::fleet {
 
--- a/src/fleet/service/files.h
+++ b/src/fleet/service/files.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/json.h"
-#include "fleet/settings.h"
+#include "fleet/settings/settings.h"
 #include "fleet/wallet/wallet.h"
 
 namespace marblehub::fleet {
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings/settings.cpp
@@ -1,4 +1,4 @@
-#include "fleet/settings.h"
+#include "fleet/settings/settings.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
--- a/src/fleet/view/view.h
+++ b/src/fleet/view/view.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "fleet/settings.h"
+#include "fleet/settings/settings.h"
 #include "fleet/time.h"
 
 namespace marblehub::fleet {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -13,13 +13,13 @@
 #include "log/log.h"
 #include "log/settings.h"
 #include "metrics/registry.h"
-#include "metrics/remote_write.h"
 #include "net/client_side.h"
 #include "net/loop.h"
 #include "net/registry_watch.h"
 #include "net/worker_side.h"
 #include "quic/front.h"
 #include "rebalance/driver.h"
+#include "remote_write/remote_write.h"
 
 namespace marblehub {
 namespace {
@@ -86,7 +86,7 @@
         [this](const std::string& worker, Time rtt, core::Outcome outcome, const core::LoadReport& report) {
           dispatcher_.probe_result(worker, rtt, outcome, report);
         });
-    registry_.on_news({[this](const config::WorkerList& list) { dispatcher_.list_told(list); },
+    registry_.on_news({[this](const config::WorkerList& list) { dispatcher_.list_received(list); },
                        [this] { list_refused(); }});
   }
 
@@ -109,7 +109,7 @@
     if (read_first_) return 0;
     dispatcher_.advance();
     dispatcher_.free_ended();
-    dispatcher_.waits();
+    dispatcher_.before_wait();
     return dispatcher_.next_due() - loop_.now();
   }
 
@@ -122,7 +122,7 @@
   bool list_is_pushed() const { return !startup_.settings.ask_registry; }
 
   void list_refused() {
-    dispatcher_.list_refused();
+    dispatcher_.list_failed();
     if (list_is_pushed()) agent_again_.start(kAgentAgain);
   }
 
@@ -193,7 +193,7 @@
     if (!files) return nullptr;
     auto made = std::make_unique<fleet::Service>(loop_, std::move(*files), startup_, metrics_,
                                                  [this] { loop_.stop(); });
-    dispatcher_.gated_by(*made);
+    dispatcher_.set_gate(*made);
     return made;
   }
 
--- a/src/model/host.h
+++ b/src/model/host.h
@@ -58,33 +58,39 @@
   void track() override;
 
  private:
-  struct Seat;    // a client that is here
-  class Attempt;  // a call that is out at a worker
-  class Net;      // the worker's side
+  struct Session;    // a client that is here
+  class Attempt;     // a call that is out at a worker
+  class WorkerPort;  // the worker's side
 
   void live();  // makes the dispatcher, at start and after a death
   void settle();
-  Seat& seat_for(const Client& client);
-  core::Call call_of(const Seat& seat) const;
+  Session& session_for(const Client& client);
+  core::Call call_of(const Session& session) const;
   void arrives(const Client& client);
-  void ask(Seat& seat);
-  void goes(Seat& seat, Time after, bool returned);
-  void retries(Seat& seat, Time after);
-  void free(Seat& seat);
-  Seat* seat_of(std::uint64_t key);
+  void ask(Session& session);
+  void goes(Session& session, Time after, bool returned);
+  void retries(Session& session, Time after);
+  void free(Session& session);
+  Session* session_of(std::uint64_t key);
   void listed(const Event& event);
   void tick();
-  void message(Seat& seat);
+  void message(Session& session);
   void dies();
   void drops(double share, Time within);
   void spawn();
   void planned_step();
+  void wish_over(const Event& event);
+  void attempt_event(const Event& event);
+  void probe_answered(const Event& event);
+  void message_answered(const Event& event);
+  void probes_due();
+  void move_some(double share);
   config::WorkerEntry entry_of(int worker) const;
   const std::string& name(int worker) const { return places_.names[static_cast<std::size_t>(worker)]; }
   Event event_for(What what) const;
   void send_worker(What what, int worker, std::uint64_t key, const Client* client);
   Time hop() { return hop_time(scenario_, net_); }
-  void note(const char* what, const Seat& seat, const std::string& more = {});
+  void note(const char* what, const Session& session, const std::string& more = {});
 
   const Scenario& scenario_;
   const Places& places_;
@@ -94,18 +100,18 @@
   config::Startup startup_;
   std::optional<metrics::Registry> metrics_;
   std::optional<rebalance::Counters> counters_;
-  std::unique_ptr<Net> workers_side_;
+  std::unique_ptr<WorkerPort> workers_side_;
   std::unique_ptr<core::Dispatcher> dispatcher_;
   std::unique_ptr<rebalance::Driver> driver_;
   bool alive_ = true, tracking_ = false, planning_ = false, over_ = false;
   Time wake_at_ = -1;
-  std::deque<Seat> seats_;
-  std::vector<std::uint32_t> free_seats_;
+  std::deque<Session> sessions_;
+  std::vector<std::uint32_t> free_sessions_;
   struct Known {  // of a worker, as this balancer was told
     bool leaving = false;
     Time told = 0;
-    std::vector<std::uint32_t> seats;  // that stand there
-    std::uint32_t speaks = 0;          // whose message is out, plus 1
+    std::vector<std::uint32_t> sessions;  // that stand there
+    std::uint32_t speaks = 0;             // whose message is out, plus 1
     Time spoke_at = 0;
     bool all_speak = false;
   };
--- a/src/model/lanes.h
+++ b/src/model/lanes.h
@@ -76,7 +76,7 @@
   What what = What::wake;
   std::uint8_t outcome = 0;  // marblehub::policy::Outcome, or Health in a list
   std::uint32_t host = 0, worker = 0;
-  std::uint64_t key = 0;  // of a connection attempt, a seat or a message
+  std::uint64_t key = 0;  // of a connection attempt, a session or a message
   Time time = 0;
   double value = 0;
   Client client;
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -41,7 +41,7 @@
       stepped_at_(dispatcher.now()),
       counters_(counters) {
   members(startup.known);
-  dispatcher.watched_by(*this);
+  dispatcher.set_standing_watch(*this);
 }
 
 void Driver::follow(const Settings& settings) {
--- a/src/metrics/remote_write.cpp
+++ b/src/remote_write/remote_write.cpp
@@ -1,4 +1,4 @@
-#include "metrics/remote_write.h"
+#include "remote_write/remote_write.h"
 
 #include <fmt/format.h>
 #include <snappy.h>
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -705,7 +705,7 @@
   relay.rejections.clear();
   for (int i = 0; i < 100; ++i) relay.request();
   EXPECT_GT(relay.rejections.size(), 20u);
-  for (const Reject& d : relay.rejections) EXPECT_GT(d.pause, 0);
+  for (const Reject& d : relay.rejections) EXPECT_GT(d.retry_after, 0);
   relay.run_for(60 * kSec);
   relay.rejections.clear();
   for (int i = 0; i < 100; ++i) relay.request();
--- a/tests/drain_grace_test.cpp
+++ b/tests/drain_grace_test.cpp
@@ -40,7 +40,7 @@
     REQUIRE(d.sent.size() == 1);
     REQUIRE(exchange.may_begin());
     Time told = d.at;
-    d.dispatcher->list_told(draining(test::workers(1).front()));
+    d.dispatcher->list_received(draining(test::workers(1).front()));
     Time last = -1;  // milliseconds after the news at which the call might still have begun
     for (Time waited = 0; waited <= 1000; waited += 10) {
       d.at = told + waited * kMillisecond;
--- a/tests/fleet/processes/settings_test.cpp
+++ b/tests/fleet/processes/settings_test.cpp
@@ -1,5 +1,5 @@
 // deploy/fleet.json: every rule is tried by one wrong file, which must be refused with its place and key.
-#include "fleet/settings.h"
+#include "fleet/settings/settings.h"
 
 #include <sys/stat.h>
 
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -119,7 +119,7 @@
     Dispatched d(s, 12);
     Dispatched::Gate gate;
     gate.shared_by = told;
-    d.dispatcher->gated_by(gate);
+    d.dispatcher->set_gate(gate);
     d.run(600'000'000);
     for (const auto& [worker, count] : d.probes) probes[told] += count;
   }
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -21,7 +21,7 @@
 struct Shifted {
   explicit Shifted(const rebalance::Settings& settings)
       : d(Bench::settings(), 4), counters(d.metrics), driver(settings, *d.dispatcher, d.startup, counters) {
-    d.dispatcher->gated_by(gate);
+    d.dispatcher->set_gate(gate);
     for (int i = 0; i < 400; ++i)
       d.dispatcher->adopt({}, d, d, std::to_string(1 + i % 4), std::make_unique<Dispatched::Out>(), true);
     report();
--- a/tests/fleet/service/pools_test.cpp
+++ b/tests/fleet/service/pools_test.cpp
@@ -115,7 +115,7 @@
 TEST_CASE("the dispatcher tells its gate which workers the module has down") {
   Dispatched d(Bench::settings(), 3);
   Dispatched::Gate gate;
-  d.dispatcher->gated_by(gate);
+  d.dispatcher->set_gate(gate);
   d.silent = {"2"};
   d.run(10'000'000);
   CHECK(gate.all_down == std::vector<std::string>{"2"});
--- a/tests/product_test.cpp
+++ b/tests/product_test.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "application.h"
-#include "metrics/remote_write.h"
+#include "remote_write/remote_write.h"
 #include "support/program.h"
 
 namespace marblehub::test {
--- a/tests/settings/simulated_fleet.h
+++ b/tests/settings/simulated_fleet.h
@@ -91,7 +91,7 @@
   void again(std::shared_ptr<Client> client, Time after, bool broken);
   void tell(std::size_t balancer, const Event& event);
   void act(std::size_t balancer, const Submit& action);
-  void act(std::size_t balancer, const Reject& action) { answer(balancer, action.id, action.pause); }
+  void act(std::size_t balancer, const Reject& action) { answer(balancer, action.id, action.retry_after); }
   void act(std::size_t balancer, const Fail& action) { answer(balancer, action.id, 0); }
   void act(std::size_t balancer, const Redirect& action);
   void act(std::size_t balancer, const Probe& action);
--- a/tests/support/sockets.h
+++ b/tests/support/sockets.h
@@ -57,8 +57,9 @@
   return fd;
 }
 
-// A loopback port that is free for sockets of this type, below the range from which the system itself takes ports: none
-// of the many connections and sockets that tests beside this one open can take it before the program binds it.
+// A loopback port that is free for sockets of this type, below the range from which the system itself takes
+// ports: none of the many connections and sockets that tests beside this one open can take it before the
+// program binds it.
 inline int free_port(int type) {
   constexpr int lowest = 12000, highest = 32000;  // net.ipv4.ip_local_port_range begins at 32768
   static std::mt19937 random(std::random_device{}());
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -8,10 +8,10 @@
 #include "fleet/routes/table.h"
 #include "fleet/service/files.h"
 #include "log/settings.h"
-#include "metrics/remote_write.h"
 #include "net/stream.h"
 #include "quic/settings.h"
 #include "rebalance/settings.h"
+#include "remote_write/remote_write.h"
 
 namespace marblehub::config {
 
