--- a/bench/quic_forward.cpp
+++ b/bench/quic_forward.cpp
@@ -10,7 +10,8 @@
 #include <thread>
 #include <vector>
 
-#include "peer.h"
+#include "peers/client.h"
+#include "peers/worker.h"
 #include "quic/packet.h"
 #include "quic/proxy_header.h"
 #include "router.h"
--- a/bench/quic_memory.cpp
+++ b/bench/quic_memory.cpp
@@ -4,7 +4,8 @@
 #include <fmt/format.h>
 #include <sys/resource.h>
 
-#include "peer.h"
+#include "peers/client.h"
+#include "peers/worker.h"
 #include "quic/initial.h"
 #include "quic/proxy_header.h"
 #include "router.h"
--- /dev/null
+++ b/conformance/peers/connection.h
@@ -0,0 +1,61 @@
+/// One end of a QUIC connection, on the ngtcp2 library with GnuTLS. The daemon links none of this. Everything
+/// runs in one thread: the owner polls each peer with `step`.
+#pragma once
+
+#include <ngtcp2/ngtcp2.h>
+#include <ngtcp2/ngtcp2_crypto.h>
+#include <ngtcp2/ngtcp2_crypto_gnutls.h>
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "peers/udp.h"
+
+namespace marblehub::peers {
+
+// One end of a connection. Streams carry whole texts: each side sends one and ends it.
+class Connection {
+ public:
+  virtual ~Connection();
+  Connection(const Connection&) = delete;
+
+  bool handshaken() const { return conn_ && ngtcp2_conn_get_handshake_completed(conn_); }
+  bool over() const { return over_; }
+  bool was_reset() const { return was_reset_; }                            // by a stateless reset
+  std::optional<std::uint64_t> close_code() const { return close_code_; }  // of the peer's CONNECTION_CLOSE
+  ngtcp2_conn* raw() { return conn_; }
+  void write();
+
+ protected:
+  Connection();
+  virtual void transmit(const ngtcp2_path& path, std::string_view bytes) = 0;
+  virtual void text_came(std::int64_t stream, const std::string& text) = 0;
+  virtual void completed() {}
+  virtual void new_id(ngtcp2_cid&, std::uint8_t*, std::size_t) = 0;
+  void read(const Endpoint& local, const Endpoint& remote, std::string_view bytes);
+  void expire();
+  void send_text(std::int64_t stream, std::string text);
+  void shut(std::uint64_t application_code);  // closes at once
+  ngtcp2_callbacks callbacks(bool server);
+  void finish_setup();
+
+  struct Stream {
+    std::string out, in;
+    std::size_t sent = 0;
+    bool has_out = false, fin_sent = false;
+  };
+  ngtcp2_conn* conn_ = nullptr;
+  gnutls_session_t session_ = nullptr;
+  ngtcp2_crypto_conn_ref ref_;
+  std::map<std::int64_t, Stream> streams_;
+  bool over_ = false, was_reset_ = false;
+  std::optional<std::uint64_t> close_code_;
+
+ private:
+  bool write_one(std::int64_t id, Stream* stream);
+};
+
+}  // namespace marblehub::peers
--- /dev/null
+++ b/conformance/peers/worker.cpp
@@ -0,0 +1,179 @@
+#include "peers/worker.h"
+
+#include <algorithm>
+#include <array>
+#include <functional>
+#include <utility>
+
+#include "peers/ngtcp2_support.h"
+#include "peers/served_connection.h"
+#include "quic/crypto.h"
+#include "quic/packet.h"
+#include "quic/proxy_header.h"
+
+namespace marblehub::peers {
+
+namespace {
+
+constexpr std::string_view kControl = "\x04MARBLE1 ";
+
+}  // namespace
+
+Worker::Worker(std::string n, WorkerOptions o)
+    : name(std::move(n)),
+      server_id(quic::default_server_id(name, o.ids.server_id_length)),
+      options(std::move(o)),
+      codec_({options.ids}),
+      udp_(std::make_unique<Udp>(options.family)),
+      random_(std::hash<std::string>()(name)) {}
+
+Worker::~Worker() = default;
+
+std::string Worker::make_id() {
+  return codec_.encode(options.ids.rotation, server_id, quic::random_octets(options.ids.nonce_length));
+}
+
+std::size_t Worker::connections() const {
+  return static_cast<std::size_t>(
+      std::count_if(all_.begin(), all_.end(), [](const auto& c) { return !c->over(); }));
+}
+
+void Worker::die() {
+  udp_.reset();
+  by_id_.clear();
+  all_.clear();
+}
+
+void Worker::restart() {
+  die();
+  udp_ = std::make_unique<Udp>(options.family);
+}
+
+void Worker::send(std::string_view bytes, const Endpoint& client) {
+  if (!udp_) return;
+  if (!options.proxy) return udp_->send(bytes, client);
+  auto router = routers_.find(std::string(client.octets()));
+  if (router == routers_.end()) return;
+  std::array<char, quic::kLongestProxyHeader> header;
+  std::size_t size = quic::write_proxy_header(header, {false, listen_, client, {}, {}});
+  udp_->send(std::string(header.data(), size) + std::string(bytes), router->second);
+}
+
+void Worker::say(const std::string& words, const Endpoint& client) {
+  send(std::string(kControl) + words, client);
+}
+
+void Worker::leave(const Endpoint& router, const Endpoint& client, const std::string& id) {
+  std::array<char, quic::kLongestProxyHeader> header;
+  std::size_t size = quic::write_proxy_header(header, {false, listen_, client, {}, {}});
+  udp_->send(std::string(header.data(), size) + std::string(kControl) + "LEFT " + quic::hex(id), router);
+}
+
+void Worker::control(std::string_view words, const Endpoint&, const Endpoint&) {
+  if (words.starts_with("MOVE ")) {
+    auto id = quic::unhex(words.substr(5));
+    if (!id) return;
+    moves.insert(*id);
+    for (auto& served : all_)
+      if (served->known_as(*id)) served->move();
+  } else if (words.starts_with("RETRIED ")) {
+    std::string_view rest = words.substr(8);
+    auto retry = quic::unhex(rest.substr(0, rest.find(' '))),
+         original = quic::unhex(rest.substr(rest.find(' ') + 1));
+    if (retry && original) told_[*retry] = *original;
+  }
+}
+
+ServedConnection* Worker::accept(const std::string& bytes, const Endpoint& client) {
+  ngtcp2_pkt_hd hd;
+  if (ngtcp2_accept(&hd, raw(bytes), bytes.size()) != 0) return nullptr;
+  initials += 1;
+  std::string first = text_of(hd.dcid);
+  if (options.mute) return nullptr;
+  if (options.busy) {
+    say("BUSY " + quic::hex(first), client);
+    return nullptr;
+  }
+  if (options.refuse) {
+    std::uint8_t packet[256];
+    ngtcp2_ssize n = ngtcp2_crypto_write_connection_close(packet, sizeof packet, hd.version, &hd.scid,
+                                                          &hd.dcid, NGTCP2_CONNECTION_REFUSED, nullptr, 0);
+    if (n > 0) send({reinterpret_cast<char*>(packet), static_cast<std::size_t>(n)}, client);
+    return nullptr;
+  }
+  std::string original = first;
+  std::optional<std::string> retry;
+  static const std::string secret = "worker's own token key";
+  if (auto told = told_.find(first); told != told_.end()) {  // the router has asked for a Retry
+    original = told->second;
+    retry = first;
+    last_retry = {original, first};
+  } else if (options.retry) {
+    ngtcp2_cid odcid;
+    if (hd.token.len == 0) {
+      ngtcp2_cid source = cid_of(make_id());
+      std::uint8_t token[NGTCP2_CRYPTO_MAX_RETRY_TOKENLEN], packet[512];
+      ngtcp2_ssize size = ngtcp2_crypto_generate_retry_token(
+          token, raw(secret), secret.size(), hd.version, SocketName(client).raw(),
+          static_cast<ngtcp2_socklen>(SocketName(client).size), &source, &hd.dcid, now_ns());
+      ngtcp2_ssize n = ngtcp2_crypto_write_retry(packet, sizeof packet, hd.version, &hd.scid, &source,
+                                                 &hd.dcid, token, static_cast<std::size_t>(size));
+      if (n > 0) send({reinterpret_cast<char*>(packet), static_cast<std::size_t>(n)}, client);
+      return nullptr;
+    }
+    if (ngtcp2_crypto_verify_retry_token(&odcid, hd.token.base, hd.token.len, raw(secret), secret.size(),
+                                         hd.version, SocketName(client).raw(),
+                                         static_cast<ngtcp2_socklen>(SocketName(client).size), &hd.dcid,
+                                         10 * NGTCP2_SECONDS, now_ns()) != 0)
+      return nullptr;
+    original = text_of(odcid);
+    retry = first;
+    last_retry = {original, first};
+  }
+  auto served = std::make_shared<ServedConnection>(*this, hd, client, original, retry);
+  by_id_[first] = by_id_[served->ids[0]] = served;
+  all_.push_back(served);
+  accepted += 1;
+  store_calls += 1;
+  accepted_at.push_back(now_us());
+  return served.get();
+}
+
+void Worker::step() {
+  if (!udp_) return;
+  while (auto came = udp_->receive()) {
+    std::string_view bytes = came->bytes;
+    Endpoint client = came->from;
+    if (options.proxy) {
+      auto header = quic::take_proxy_header(bytes);
+      if (!header || header->local) continue;
+      client = header->source;
+      listen_ = header->destination;
+      routers_[std::string(client.octets())] = came->from;
+      if (!header->original_id.empty())
+        told_[std::string(header->retry_id)] = std::string(header->original_id);
+    }
+    clients_seen.insert(client.text());
+    if (bytes.starts_with(kControl)) {
+      control(bytes.substr(kControl.size()), client, came->from);
+      continue;
+    }
+    datagrams += 1;
+    with_ecn += came->ecn != 0;
+    ngtcp2_version_cid ids;
+    if (ngtcp2_pkt_decode_version_cid(&ids, raw(bytes), bytes.size(), options.ids.length()) != 0) continue;
+    std::string destination(reinterpret_cast<const char*>(ids.dcid), ids.dcidlen);
+    auto known = by_id_.find(destination);
+    if (known != by_id_.end()) {
+      auto served = known->second;
+      if (options.proxy) served->came_through(came->from);
+      served->take(client, bytes);
+      continue;
+    }
+    if (bytes.empty() || !(bytes[0] & 0x80)) continue;
+    if (ServedConnection* served = accept(std::string(bytes), client)) served->take(client, bytes);
+  }
+  for (auto& served : all_) served->step();
+}
+
+}  // namespace marblehub::peers
--- /dev/null
+++ b/conformance/suites/amplification.cpp
@@ -0,0 +1,87 @@
+// Three times what came in, and workers that answer after their call was given up.
+#include <algorithm>
+#include <set>
+
+#include "quic/stateless_reset.h"
+#include "quic/validation.h"
+#include "suites/suites.h"
+#include "suites/support.h"
+
+namespace marblehub::conformance {
+
+void amplification(Report& report) {
+  report.suite("amplification");
+  TestbedOptions options = usual();
+  Testbed testbed({"g-1"}, options);
+  // A client that sends one Initial and falls silent: all that it gets stays within three times that.
+  Client& c = testbed.client();
+  bool sent = false;
+  c.hop.tamper = [&](std::string bytes) {
+    if (std::exchange(sent, true)) return std::vector<std::string>{};
+    return std::vector<std::string>{std::move(bytes)};
+  };
+  testbed.run(2000);
+  report.check("RFC 9000, 8.1", "an address that is not validated gets at most three times what it sent",
+               c.hop.octets_in > 0 && c.hop.octets_in <= 3 * 1200);
+  // A worker that does not keep to it is held to it.
+  Udp sink;
+  take_places(testbed, {{"g-1", &sink}});
+  Probe probe(testbed);
+  std::string id = fresh_id();
+  probe.send(bare_initial(id, "source"));
+  std::optional<Udp::Came> came;
+  testbed.run(500, [&] { return (came = sink.receive()).has_value(); });
+  std::size_t got = 0;
+  if (came) {
+    std::string_view bytes = came->bytes;
+    auto header = take_proxy_header(bytes);
+    std::string worker_id =
+        IdCodec({testbed.options.worker.ids}).encode(2, testbed.worker(0).server_id, "nonce!");
+    for (std::uint32_t i = 0; i < 20; ++i)
+      sink.send(header_back(*header) +
+                    seal_initial(initial_keys(id, true), "source", worker_id, i, std::string(1100, '\0')),
+                came->from);
+    for (const std::string& packet : probe.answers(300, 1000)) got += packet.size();
+  }
+  report.check("RFC 9000, 8.1", "also where its worker sends more", came && got > 0 && got <= 3 * 1200);
+  report.check("alerts", "what was kept back is counted",
+               testbed.counter("marblehub_quic_amplification_stops_total") > 0);
+}
+
+// A worker that answers after its call was given up: nobody may hear of it.
+void late_replies(Report& report) {
+  report.suite("late");
+  for (bool proxy : {true, false}) {
+    std::string way = proxy ? " (proxy-v2)" : " (socket)";
+    TestbedOptions options = usual(proxy);
+    options.deadline_ms = 600;
+    Testbed testbed({"g-1"}, options);
+    Udp sink;
+    take_places(testbed, {{"g-1", &sink}});
+    Probe probe(testbed);
+    std::string id = fresh_id();
+    probe.send(bare_initial(id, "source"));
+    std::optional<Udp::Came> came;
+    std::vector<std::string> answers;
+    testbed.run(900, [&] {
+      if (auto one = sink.receive()) came = one;
+      while (auto back = probe.udp.receive()) answers.push_back(back->bytes);
+      return came && !answers.empty();
+    });
+    report.check("PROTOCOL, answers",
+                 "a worker that says nothing leaves a call that is refused in time" + way,
+                 came && answers.size() == 1 && closes_with(answers[0], id, kConnectionRefused));
+    if (!came) continue;
+    std::string reply =
+        seal_initial(initial_keys(id, true), "source",
+                     IdCodec({options.worker.ids}).encode(2, testbed.worker(0).server_id, "nonce!"), 0,
+                     std::string(100, '\0'));
+    std::string_view bytes = came->bytes;
+    std::string head;
+    if (auto header = proxy ? take_proxy_header(bytes) : std::nullopt) head = header_back(*header);
+    sink.send(head + reply, came->from);
+    report.check("PROTOCOL, answers", "what it says after that reaches nobody" + way, !probe.answer(300));
+  }
+}
+
+}  // namespace marblehub::conformance
--- /dev/null
+++ b/conformance/suites/connection_ids.cpp
@@ -0,0 +1,94 @@
+// Connection ids of all forms.
+#include <algorithm>
+#include <set>
+
+#include "quic/stateless_reset.h"
+#include "quic/validation.h"
+#include "suites/suites.h"
+#include "suites/support.h"
+
+namespace marblehub::conformance {
+
+static void stable_by_address(Report& report) {
+  // Two sockets of ours in the workers' places, which answer whatever they get.
+  Testbed testbed({"g-1", "g-2"}, usual());
+  Udp sinks[2];
+  take_places(testbed, {{"g-1", &sinks[0]}, {"g-2", &sinks[1]}});
+  Probe tuple(testbed);
+  std::size_t got[2] = {0, 0};
+  for (int i = 0; i < 12; ++i) {
+    tuple.send("\x40\xe1" + std::string(60, static_cast<char>('a' + i)));
+    testbed.run(30, [&] {
+      for (int s : {0, 1})
+        while (auto came = sinks[s].receive()) {
+          std::string_view bytes = came->bytes;
+          auto header = take_proxy_header(bytes);
+          if (!header) continue;
+          got[s] += 1;
+          sinks[s].send(header_back(*header) + "\x40" + std::string(40, 'y'), came->from);
+        }
+      return false;
+    });
+  }
+  report.check("quic-load-balancers, 4.2",
+               "further ones of the same address go to the same worker, whatever their octets",
+               got[0] + got[1] == 12 && (got[0] == 0 || got[1] == 0));
+  report.check("quic-load-balancers, 4.2", "and are no further calls",
+               testbed.counter("marblehub_calls_total") == 1);
+}
+
+void connection_ids(Report& report) {
+  report.suite("ids");
+  const char* draft = "quic-load-balancers";
+  auto at = [&](const char* section) { return std::string(draft) + ", " + section; };
+  struct Way {
+    IdConfig config;
+    const char *section, *words;
+  };
+  for (const Way& way :
+       {Way{{0, 1, 4, ""}, "5.2", "an id in the clear of the shortest parts is routed"},
+        {{6, 15, 4, ""}, "5.2", "an id in the clear of the longest server id is routed"},
+        {{1, 4, 12, std::string(16, 'a')}, "5.4.1", "an id of one pass (16 octets) is routed"},
+        {{2, 3, 4, std::string(16, 'b')}, "5.4.2", "a four-pass id of 7 octets is routed"},
+        {{3, 4, 6, std::string(16, 'c')}, "5.4.2", "a four-pass id of 10 octets is routed"},
+        {{4, 8, 11, std::string(16, 'd')}, "5.4.2", "a four-pass id of 19 octets is routed"},
+        {{5, 1, 4, std::string(16, 'e')}, "5.4.2", "a four-pass id of 5 octets is routed"},
+        {{0, 4, 6, "", false}, "3", "an id whose first octet holds no length is routed"}}) {
+    TestbedOptions options = usual();
+    options.worker.ids = way.config;
+    Testbed testbed({"g-1", "g-2"}, options);
+    Client& c = testbed.client();
+    bool good = up(testbed, c) && asks(testbed, c, "one");
+    c.rebind();
+    report.check(at(way.section), way.words, good && asks(testbed, c, "two"));
+  }
+  Testbed testbed({"g-1", "g-2"}, usual());
+  Probe probe(testbed);
+  IdCodec codec({testbed.options.worker.ids});
+  probe.send("\x40" + codec.encode(2, "none", "nonce!") + std::string(40, 'x'));
+  report.check(at("4.1"), "an id that names no worker is dropped, not guessed at",
+               !probe.answer() && testbed.counter("marblehub_quic_unknown_ids_total") == 1);
+  std::string short_one = codec.encode(2, testbed.worker(0).server_id, "nonce!");
+  short_one[0] = static_cast<char>(2 << 5 | 9);
+  probe.send("\x40" + short_one + std::string(40, 'x'));
+  report.check(at("3.2"), "an id whose length octet is wrong is dropped",
+               !probe.answer() && testbed.counter("marblehub_quic_unknown_ids_total") == 2);
+  probe.send("\x40" + std::string(1, '\x8a') + std::string(50, 'x'));
+  report.check(at("3.1"), "an id of a rotation that is not configured is dropped",
+               !probe.answer() && testbed.counter("marblehub_quic_unknown_ids_total") == 3);
+  double calls = testbed.counter("marblehub_calls_total");
+  probe.send("\x40\xe0" + std::string(60, 'x'));
+  testbed.run(200);
+  report.check(at("3.1"), "an id of the unroutable codepoint goes through the module as a call",
+               testbed.counter("marblehub_calls_total") == calls + 1);
+  stable_by_address(report);
+  // A client that makes up an id of a worker's form has no claim to that worker.
+  std::string chosen = codec.encode(2, testbed.worker(0).server_id, "nonce!");
+  calls = testbed.counter("marblehub_calls_total");
+  probe.send(bare_initial(chosen, "source"));
+  testbed.run(200);
+  report.check(at("4.1"), "an Initial whose made-up id names a worker is placed by the module all the same",
+               testbed.counter("marblehub_calls_total") == calls + 1);
+}
+
+}  // namespace marblehub::conformance
--- /dev/null
+++ b/conformance/suites/zero_rtt.cpp
@@ -0,0 +1,77 @@
+// Early data in every order.
+#include <algorithm>
+#include <set>
+
+#include "quic/stateless_reset.h"
+#include "quic/validation.h"
+#include "suites/suites.h"
+#include "suites/support.h"
+
+namespace marblehub::conformance {
+
+void zero_rtt(Report& report) {
+  report.suite("0-rtt");
+  Testbed testbed({"g-1"}, usual());
+  Client& first = testbed.client();
+  bool good = up(testbed, first) && asks(testbed, first, "first") &&
+              testbed.run(1000, [&] { return first.resumption().has_value(); });
+  report.check("RFC 9001, 4.6.1", "a session ticket passes", good);
+  if (!good) return;
+  Resumption ticket = *first.resumption();
+  ClientOptions options;
+  options.resume = &ticket;
+  auto play = [&](const char* section, const char* words,
+                  std::function<std::vector<std::string>(std::vector<std::string>)> order) {
+    Client& c = testbed.client(options);
+    std::string text = std::string("early ") + words;
+    c.request(text);
+    std::vector<std::string> flight;
+    c.hop.tamper = [&](std::string bytes) {
+      flight.push_back(std::move(bytes));
+      return std::vector<std::string>{};
+    };
+    c.step();
+    std::vector<std::string> out = order(flight);
+    c.hop.tamper = [&](std::string) { return out; };
+    c.hop.send("", testbed.router());
+    c.hop.tamper = nullptr;
+    bool served = testbed.run(2500, [&] { return c.all_answered_once() && c.handshaken(); });
+    report.check(section, words, served && testbed.worker(0).executed[text] == 1);
+  };
+  // The flight of this stack is one datagram with an Initial and 0-RTT in it: the two are taken apart.
+  auto apart = [](const std::vector<std::string>& flight) {
+    std::string initial, early;
+    for (const std::string& datagram : flight) {
+      std::string_view rest = datagram;
+      while (!rest.empty()) {
+        auto header = parse(rest);
+        if (!header || header->kind == Kind::short_header) break;
+        (header->kind == Kind::initial ? initial : early) += header->packet;
+        rest.remove_prefix(header->packet.size());
+      }
+    }
+    initial.resize(std::max<std::size_t>(initial.size(), 1200), '\0');
+    return std::pair(initial, early);
+  };
+  play("RFC 9000, 17.2.3", "0-RTT coalesced with its Initial is served once",
+       [](std::vector<std::string> flight) { return flight; });
+  play("RFC 9000, 17.2.3", "0-RTT after its Initial is served once", [&](std::vector<std::string> flight) {
+    auto [initial, early] = apart(flight);
+    return std::vector<std::string>{initial, early};
+  });
+  play("RFC 9000, 5.2.2", "0-RTT before its Initial is kept for it and served once",
+       [&](std::vector<std::string> flight) {
+         auto [initial, early] = apart(flight);
+         return std::vector<std::string>{early, initial};
+       });
+  double calls = testbed.counter("marblehub_calls_total");
+  Probe probe(testbed);
+  std::string early = bare_initial(fresh_id(), "source");
+  early[0] = static_cast<char>((early[0] & 0xcf) | 0x10);
+  early.erase(5 + 1 + 10 + 1 + 6, 1);  // 0-RTT has no token
+  probe.send(early);
+  report.check("RFC 9000, 5.2.2", "0-RTT without an Initial is no call and gets no answer",
+               !probe.answer(700) && testbed.counter("marblehub_calls_total") == calls);
+}
+
+}  // namespace marblehub::conformance
--- a/conformance/stage.cpp
+++ b/conformance/testbed.cpp
@@ -1,4 +1,4 @@
-#include "stage.h"
+#include "testbed.h"
 
 #include <fmt/format.h>
 
@@ -89,7 +89,7 @@
   std::erase_if(conns_, [](const Conn& conn) { return conn.fd < 0; });
 }
 
-Stage::Stage(const std::vector<std::string>& names, StageOptions o)
+Testbed::Testbed(const std::vector<std::string>& names, TestbedOptions o)
     : options(std::move(o)),
       quic_path_(temporary_path()),
       second_path_(temporary_path()),
@@ -105,7 +105,7 @@
   program = start(quic_path_);
 }
 
-Stage::~Stage() {
+Testbed::~Testbed() {
   clients.clear();
   program.reset();
   second.reset();
@@ -113,7 +113,7 @@
   std::remove(second_path_.c_str());
 }
 
-json Stage::quic_file(const Endpoint& listen) const {
+json Testbed::quic_file(const Endpoint& listen) const {
   const quic::IdConfig& id = options.worker.ids;
   json file = {{"enabled", true},
                {"listen", listen.text()},
@@ -133,20 +133,20 @@
   return file;
 }
 
-std::unique_ptr<test::Program> Stage::start(const std::string& file) {
+std::unique_ptr<test::Program> Testbed::start(const std::string& file) {
   json settings = test::settings();
   settings["limits"]["probes"] = false;  // these stand-ins speak QUIC only
   return std::make_unique<test::Program>(registry.list(), settings, registry.port(), file, "/nonexistent",
                                          options.files);
 }
 
-Client& Stage::client(ClientOptions o) {
+Client& Testbed::client(ClientOptions o) {
   o.family = options.family;
   clients.push_back(std::make_unique<Client>(router_, o));
   return *clients.back();
 }
 
-bool Stage::run(int ms, const std::function<bool()>& done) {
+bool Testbed::run(int ms, const std::function<bool()>& done) {
   for (std::int64_t end = now_us() + ms * std::int64_t{1000}; now_us() < end; ::usleep(300)) {
     registry.step();
     for (auto& w : workers) w->step();
@@ -156,51 +156,51 @@
   return done();
 }
 
-bool Stage::all_up() {
+bool Testbed::all_up() {
   return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->handshaken(); });
 }
 
-bool Stage::all_answered() {
+bool Testbed::all_answered() {
   return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->all_answered_once(); });
 }
 
-void Stage::status(Worker& worker, const std::string& status) {
+void Testbed::status(Worker& worker, const std::string& status) {
   std::string address = worker.dead() ? "127.0.0.1:1" : worker.address().text();
   registry.set(worker.name, address, status);
 }
 
-void Stage::tell_address(Worker& worker) { status(worker, "ready"); }
+void Testbed::tell_address(Worker& worker) { status(worker, "ready"); }
 
-void Stage::restart_router() {
+void Testbed::restart_router() {
   program.reset();
   program = start(quic_path_);
 }
 
-Endpoint Stage::second_router() {
+Endpoint Testbed::second_router() {
   Endpoint at = free_endpoint(options.family);
   std::ofstream(second_path_) << quic_file(at).dump();
   second = start(second_path_);
   return at;
 }
 
-void Stage::write_quic(const json& more) {
+void Testbed::write_quic(const json& more) {
   more_.update(more);
   std::ofstream(quic_path_) << quic_file(router_).dump();
 }
 
-void Stage::reload() {
+void Testbed::reload() {
   program->signal(SIGHUP);
   run(200);
 }
 
-std::string Stage::metric_text(bool of_second) {
+std::string Testbed::metric_text(bool of_second) {
   test::Program& at = of_second ? *second : *program;
   at.signal(SIGUSR1);
   run(150);
   return at.log();
 }
 
-double Stage::counter(const std::string& name, bool of_second) {
+double Testbed::counter(const std::string& name, bool of_second) {
   metric_text(of_second);
   return (of_second ? *second : *program).counter(name);
 }
--- a/conformance/stage.h
+++ b/conformance/testbed.h
@@ -6,7 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "peer.h"
+#include "peers/client.h"
+#include "peers/worker.h"
 #include "support/program.h"
 
 namespace marblehub::peers {
@@ -42,7 +43,7 @@
   std::vector<Conn> conns_;
 };
 
-struct StageOptions {
+struct TestbedOptions {
   int family = AF_INET;
   bool proxy = false;
   json quic = json::object();  // laid over the file's usual contents
@@ -51,10 +52,10 @@
   WorkerOptions worker;
 };
 
-class Stage {
+class Testbed {
  public:
-  Stage(const std::vector<std::string>& names, StageOptions options = {});
-  ~Stage();
+  Testbed(const std::vector<std::string>& names, TestbedOptions options = {});
+  ~Testbed();
 
   Client& client(ClientOptions options = {});
   // Runs everyone for so long, or until `done`; whether it was.
@@ -75,7 +76,7 @@
   std::string metric_text(bool second = false);
   const Endpoint& router() const { return router_; }
 
-  StageOptions options;
+  TestbedOptions options;
   RegistryStandIn registry;
   std::vector<std::unique_ptr<Worker>> workers;
   std::vector<std::unique_ptr<Client>> clients;
--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -234,8 +234,8 @@
     double gaps = 0;
     for (const auto& m : r.moments) gaps += m.gap;
     f["mean gap"] = r.moments.empty() ? 0 : gaps / static_cast<double>(r.moments.size());
-    for (int i = 0; i < rebalance::kStills; ++i)
-      f[std::string("seconds ") + rebalance::name_of(static_cast<rebalance::Still>(i))] =
+    for (int i = 0; i < rebalance::kPlannerStates; ++i)
+      f[std::string("seconds ") + rebalance::name_of(static_cast<rebalance::PlannerState>(i))] =
           all.seconds[static_cast<std::size_t>(i)] / scenario_.balancers;
     f["events"] = static_cast<double>(lanes_.handled());
     for (const std::string& log : logs_) r.log += log;
--- a/src/model/host_events.cpp
+++ b/src/model/host_events.cpp
@@ -86,7 +86,7 @@
   rebalance::Plan plan = driver_->step();
   planning_ = false;
   figures_.planned += static_cast<long>(plan.moves.size());
-  figures_.seconds[static_cast<std::size_t>(plan.still)] += 1;
+  figures_.seconds[static_cast<std::size_t>(plan.state)] += 1;
 }
 
 void Host::dies() {
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -27,10 +27,10 @@
       mean(metrics.gauge("marblehub_rebalance_mean_load", "Load a capacity of all workers seen")),
       paused(
           metrics.gauge("marblehub_rebalance_paused", "Whether an operator has paused moves for balance")) {
-  for (int i = 0; i < kStills; ++i)
+  for (int i = 0; i < kPlannerStates; ++i)
     seconds.push_back(&metrics.counter("marblehub_rebalance_seconds_total",
                                        "Time in which moves for balance were made, or why they were not",
-                                       {{"state", name_of(static_cast<Still>(i))}}));
+                                       {{"state", name_of(static_cast<PlannerState>(i))}}));
 }
 
 Driver::Driver(const Settings& settings, core::Dispatcher& dispatcher, const config::Startup& startup,
@@ -53,13 +53,13 @@
   core::Time now = dispatcher_.now();
   look_outside(now);
   Plan plan = planner_.plan(now);
-  counters_.seconds[static_cast<std::size_t>(plan.still)]->add(static_cast<double>(now - stepped_at_) / 1e6);
+  counters_.seconds[static_cast<std::size_t>(plan.state)]->add(static_cast<double>(now - stepped_at_) / 1e6);
   stepped_at_ = now;
   // Near balance it comes and goes with every report: the counters tell that, the log need not.
-  if (plan.still != still_ && now - said_at_ >= kSaid) {
-    log::info("rebalancing: {}, gap {:.2f}, mean load {:.2f}", name_of(plan.still), planner_.gap(),
+  if (plan.state != state_ && now - said_at_ >= kSaid) {
+    log::info("rebalancing: {}, gap {:.2f}, mean load {:.2f}", name_of(plan.state), planner_.gap(),
               planner_.mean());
-    still_ = plan.still;
+    state_ = plan.state;
     said_at_ = now;
   }
   counters_.planned.add(static_cast<double>(plan.moves.size()));
--- a/src/rebalance/driver.h
+++ b/src/rebalance/driver.h
@@ -48,7 +48,7 @@
   Planner planner_;
   std::uint64_t routes_seen_ = 0;  // the gate's changes when it was last asked who stands outside
   core::Time routes_seen_at_ = 0;
-  Still still_ = Still::starting;
+  PlannerState state_ = PlannerState::starting;
   core::Time stepped_at_ = 0, said_at_ = 0;
   Counters& counters_;
 };
--- /dev/null
+++ b/tests/fleet/processes/scenario_steps.cpp
@@ -0,0 +1,246 @@
+// What a scenario does to the fleet.
+#include <signal.h>
+
+#include <algorithm>
+#include <sstream>
+
+#include "fleet/processes/scenario_player.h"
+
+namespace marblehub::test {
+
+void ScenarioPlayer::line(const std::string& text) {
+  std::istringstream in(text);
+  std::string verb;
+  if (!(in >> verb)) return;
+  if (!fleet_ && header(verb, in)) return;
+  if (!fleet_) {
+    fleet_.emplace(wanted_, wanted_.workers > 0 ? whole_ : node_);
+    marked_ = fleet_->now();
+  }
+  if (verb == "at") {
+    double when = number(in);
+    pump_until(marked_ + when);
+    in >> verb;
+  }
+  fleet_->note("scenario", text);
+  step(verb, in);
+}
+
+bool ScenarioPlayer::header(const std::string& verb, std::istream& in) {
+  if (verb == "members") return in >> wanted_.members, true;
+  if (verb == "voters") return in >> wanted_.voters, true;
+  if (verb == "seed") return in >> wanted_.seed, true;
+  if (verb == "workers") return in >> wanted_.workers, true;
+  if (verb == "settings") return std::getline(in, wanted_.settings), true;
+  return false;
+}
+
+void ScenarioPlayer::step(const std::string& verb, std::istream& in) {
+  static const std::map<std::string, int> signals = {
+      {"kill", SIGKILL}, {"stop", SIGSTOP}, {"cont", SIGCONT}, {"term", SIGTERM}, {"hup", SIGHUP}};
+  if (verb == "mark") return mark();
+  if (verb == "obey") return fleet_->stand_ins()->obey();
+  if (verb == "wait") return pump_until(fleet_->now() + number(in));
+  if (verb == "heal") return heal();
+  if (verb == "cut") return cut(in);
+  if (verb == "flap") return flap(in);
+  if (verb == "loss" || verb == "repeat" || verb == "reorder" || verb == "delay") return worsen(verb, in);
+  if (verb == "expect") return expect(in);
+  if (verb == "pool") {
+    auto version = static_cast<std::uint64_t>(number(in));
+    std::string text;
+    in >> text;
+    std::istringstream parts(text);
+    for (std::string part; std::getline(parts, part, ',');) pools_[version].push_back(part);
+    return;
+  }
+  if (verb == "stay") {
+    double seconds = 1e9;
+    in >> seconds;
+    return fleet_->stand_ins()->stay(in ? seconds : 1e9);
+  }
+  if (verb == "worker") {
+    std::string name, what;
+    in >> name >> what;
+    return fleet_->stand_ins()->worker(name, what);
+  }
+  if (verb == "silent" || verb == "speaks") {
+    for (std::string worker; in >> worker;) fleet_->stand_ins()->silent(worker, verb == "silent");
+    return;
+  }
+  if (verb == "leader") return find_leader(in);
+  if (verb == "settings") {
+    std::string text;
+    std::getline(in, text);
+    return fleet_->settings(text);
+  }
+  Names names = who(in);
+  if (verb == "hup") hup_at_ = fleet_->now();
+  if (verb == "full" || verb == "free")
+    return each(names, [&](const auto& n) { fleet_->disk_full(n, verb == "full"); });
+  if (verb == "calls") {
+    double rate = number(in);
+    std::string fields;
+    in >> fields;
+    return each(names, [&](const auto& n) { fleet_->calls(n, rate, fields); });
+  }
+  if (verb == "file") {
+    std::string name, text;
+    in >> name;
+    std::getline(in >> std::ws, text);
+    return each(names, [&](const auto& n) { fleet_->file(n, name, text); });
+  }
+  if (verb == "start") return each(names, [&](const auto& n) { fleet_->start(n); });
+  if (verb == "wipe") return each(names, [&](const auto& n) { fleet_->wipe(n); });
+  if (verb == "copy") return each(names, [&](const auto& n) { fleet_->keep_disk(n); });
+  if (verb == "restore") return each(names, [&](const auto& n) { fleet_->restore(n); });
+  if (verb == "clock") {
+    double ms = number(in);
+    return each(names, [&](const auto& n) { fleet_->clock(n, static_cast<std::int64_t>(ms * 1000)); });
+  }
+  if (auto it = signals.find(verb); it != signals.end())
+    return each(names, [&](const auto& n) { fleet_->signal(n, it->second); });
+  throw std::runtime_error("no such step: " + verb);
+}
+
+void ScenarioPlayer::each(const Names& names, const std::function<void(const std::string&)>& act) {
+  for (const std::string& name : names) act(name);
+}
+
+double ScenarioPlayer::number(std::istream& in) {
+  double value = 0;
+  if (!(in >> value)) throw std::runtime_error("a number expected");
+  return value;
+}
+
+void ScenarioPlayer::word(std::istream& in, const std::string& expected) {
+  std::string got;
+  if (!(in >> got) || got != expected) throw std::runtime_error(expected + " expected, not " + got);
+}
+
+Names ScenarioPlayer::named(const std::string& text) const {
+  Names names;
+  std::istringstream parts(text);
+  for (std::string part; std::getline(parts, part, ',');) {
+    std::size_t dots = part.find("..");
+    if (part == "all") return fleet_->names();
+    if (part == "leader" || part == "followers" || part == "follower" || part == "other") {
+      int skipped = 0;
+      for (int i = 0; i < wanted_.voters; ++i) {
+        const std::string name = "b" + std::to_string(i + 1);
+        if ((name == leader_) != (part == "leader")) continue;
+        if (part == "other" && skipped++ == 0) continue;
+        names.push_back(name);
+        if (part == "follower") break;
+      }
+      continue;
+    }
+    if (dots == std::string::npos) {
+      names.push_back(part);
+    } else {
+      for (int i = std::stoi(part.substr(1, dots - 1)); i <= std::stoi(part.substr(dots + 3)); ++i)
+        names.push_back("b" + std::to_string(i));
+    }
+  }
+  const Names& known = fleet_->names();
+  for (const std::string& name : names)
+    if (std::find(known.begin(), known.end(), name) == known.end())
+      throw std::runtime_error("no such member: " + name);
+  return names;
+}
+
+Names ScenarioPlayer::who(std::istream& in) const {
+  std::string text;
+  if (!(in >> text)) throw std::runtime_error("names expected");
+  return named(text);
+}
+
+void ScenarioPlayer::pump_until(double when) {
+  if (when > fleet_->now()) fleet_->pump(when - fleet_->now());
+}
+
+void ScenarioPlayer::mark() {
+  marked_ = fleet_->now();
+  if (!fleet_->counters(live(fleet_->names()))) throw Failed("a counter was asked for and not told");
+  for (const std::string& name : live(fleet_->names())) at_mark_[name] = fleet_->counters_of(name);
+  given_up_ = given_up();
+}
+
+void ScenarioPlayer::find_leader(std::istream& in) {
+  word(in, "within");
+  until(number(in), "one leads", [&] {
+    Names leads;
+    if (!fleet_->counters(live(fleet_->names()))) return false;
+    for (const std::string& name : live(fleet_->names()))
+      if (fleet_->counter(name, "marblehub_fleet_record_leads") == 1) leads.push_back(name);
+    if (leads.size() == 1) leader_ = leads.front();
+    return leads.size() == 1;
+  });
+  fleet_->note("scenario", leader_ + " leads");
+}
+
+void ScenarioPlayer::each_link(const Names& from, const Names& to, const std::function<void(Faults&)>& act) {
+  for (const std::string& a : from)
+    for (const std::string& b : to) {
+      if (a == b) continue;
+      Faults f = fleet_->links().get(a, b);
+      act(f);
+      fleet_->links().set(a, b, f);
+    }
+}
+
+void ScenarioPlayer::heal() {
+  each_link(fleet_->names(), fleet_->names(), [](Faults& f) { f = {}; });
+}
+
+// Groups as in "b1,b2 | b3 | b4", or "b1 > b2".
+void ScenarioPlayer::cut(std::istream& in, bool now) {
+  std::vector<Names> groups = {who(in)};
+  std::string between;
+  bool one_way = false;
+  while (in >> between) {
+    if (between != "|" && between != ">") throw std::runtime_error("| or > expected");
+    one_way = between == ">";
+    groups.push_back(who(in));
+  }
+  for (std::size_t i = 0; i < groups.size(); ++i)
+    for (std::size_t j = i + 1; j < groups.size(); ++j) {
+      each_link(groups[i], groups[j], [&](Faults& f) { f.cut = now; });
+      if (!one_way) each_link(groups[j], groups[i], [&](Faults& f) { f.cut = now; });
+    }
+}
+
+void ScenarioPlayer::flap(std::istream& in) {
+  double each = number(in), times = number(in);
+  std::string groups;
+  std::getline(in, groups);
+  for (int i = 0; i < 2 * static_cast<int>(times); ++i) {
+    std::istringstream again(groups);
+    cut(again, i % 2 == 0);
+    fleet_->note("scenario", i % 2 == 0 ? "cut" : "whole");
+    pump_until(fleet_->now() + each);
+  }
+}
+
+void ScenarioPlayer::worsen(const std::string& what, std::istream& in) {
+  double first = number(in), second = 0;
+  if (what == "delay") second = number(in);
+  if (in.peek() == '%') in.get();
+  Names from = fleet_->names(), to = from;
+  if (std::string text; in >> text) from = named(text), word(in, ">"), to = who(in);
+  each_link(from, to, [&](Faults& f) {
+    if (what == "loss") f.loss = first / 100;
+    if (what == "repeat") f.repeat = first / 100;
+    if (what == "reorder") f.reorder = first / 100;
+    if (what == "delay") f.delay_from = first, f.delay_to = second;
+  });
+}
+
+Names ScenarioPlayer::live(const Names& names) const {
+  Names live;
+  for (const std::string& name : names)
+    if (fleet_->running(name)) live.push_back(name);
+  return live;
+}
+
+}  // namespace marblehub::test
--- a/tests/fleet/processes/stand_ins.cpp
+++ b/tests/fleet/processes/stand_ins.cpp
@@ -6,8 +6,8 @@
 #include <cerrno>
 
 #include "config/json.h"
-#include "stage.h"
 #include "support/program.h"
+#include "testbed.h"
 
 namespace marblehub::test {
 namespace {
--- /dev/null
+++ b/tests/fleet/record/learning_test.cpp
@@ -0,0 +1,109 @@
+// Observers of the record: how they learn what the voters agree on.
+#include <catch2/catch.hpp>
+
+#include "cluster.h"
+
+using namespace marblehub::fleet;
+
+namespace {
+
+Body deposit(int id, std::int64_t amount = 1) {
+  Deposit body;
+  body.wallet = "w";
+  body.deposit = std::to_string(id);
+  body.amount = amount;
+  return body;
+}
+
+}  // namespace
+
+TEST_CASE("who is far behind gets a snapshot, a large one in parts") {
+  Cluster cluster(8, 3, 3);
+  cluster.run(2 * kSecond);
+  const std::string behind = cluster.leader() == "v0" ? "v1" : "v0";
+  cluster.crash(behind);
+  cluster.crash("o1");
+  std::string table(200 * 1024, 't');
+  for (std::uint64_t version = 1; version <= 3; ++version) {
+    ProposeRoutes body;
+    body.version = version;
+    body.text = table + std::to_string(version);
+    body.members = {"v2"};
+    cluster.propose("v2", body);
+  }
+  for (int i = 0; i < 2000; ++i) {
+    cluster.propose(cluster.leader(), deposit(1000000 + i));
+    if (i % 50 == 0) cluster.run(20 * kMillisecond);
+  }
+  cluster.run(kSecond);
+  cluster.start(behind);
+  cluster.start("o1");
+  CHECK(cluster.settled(2000, 5 * kSecond));
+  CHECK(cluster.members[behind].disk->contents().snapshot_index > 1000);
+  CHECK(cluster.members["o1"].record->ledger().routes.staged == 3);
+}
+
+TEST_CASE("fifty observers learn through each other") {
+  Cluster cluster(9, 3, 50);
+  cluster.run(4 * kSecond);
+  const std::string leader = cluster.leader();
+  cluster.sent.clear();
+  cluster.run(kSecond);
+  // 24 beats a second to 2 voters and 8 learners at most, and answers to hellos and pointers.
+  CHECK(cluster.sent[leader] < 400);
+  const Time before = cluster.now;
+  cluster.propose("o17", deposit(1));
+  REQUIRE(cluster.settled(1, kSecond));
+  CHECK(cluster.now - before <= 400 * kMillisecond);
+  for (auto& [name, member] : cluster.members) {
+    REQUIRE(member.record->grant());
+    CHECK(member.record->grant()->until > cluster.now + 300 * kMillisecond);
+  }
+}
+
+TEST_CASE("where nothing is new an observer gets a grant each 250 ms and little else") {
+  Cluster cluster(13, 3, 50);
+  cluster.run(4 * kSecond);
+  cluster.sent.clear();
+  cluster.octets.clear();
+  cluster.datagrams = 0;
+  cluster.run(10 * kSecond);
+  std::uint64_t messages = 0, octets = 0;
+  for (auto& [name, member] : cluster.members)
+    if (name[0] == 'o') messages += cluster.sent[name], octets += cluster.octets[name];
+  CHECK(messages < 50 * 10 * 6);  // 4 grants and an ask in 2 s
+  CHECK(octets < 50 * 10 * 600);
+  CHECK(cluster.datagrams > 50 * 10 * 3);  // else it stalls behind a lost segment
+  for (auto& [name, member] : cluster.members) CHECK(member.record->majority(cluster.now));
+}
+
+TEST_CASE("a grant that is lost is asked for before the one before it is over") {
+  std::uint64_t looked = 0, fenced = 0;
+  for (std::uint64_t seed = 1; seed <= 5; ++seed) {
+    Cluster cluster(seed, 3, 30);
+    cluster.run(4 * kSecond);
+    cluster.datagrams_lost = 0.05;
+    for (int i = 0; i < 1000; ++i) {
+      cluster.run(20 * kMillisecond);
+      for (auto& [name, member] : cluster.members) {
+        if (name[0] != 'o') continue;
+        ++looked;
+        fenced += member.record->grant()->until - member.settings.clock_bound <= cluster.now;
+      }
+    }
+  }
+  CAPTURE(looked, fenced);
+  CHECK(fenced * 1000 < looked);
+}
+
+TEST_CASE("an observer that hears nobody knows that it hears no majority") {
+  Cluster cluster(14, 3, 2);
+  cluster.run(2 * kSecond);
+  REQUIRE(cluster.members["o0"].record->majority(cluster.now));
+  cluster.cut({"o0"});
+  cluster.run(2 * kSecond);
+  CHECK_FALSE(cluster.members["o0"].record->majority(cluster.now));
+  cluster.silent.clear();
+  cluster.run(kSecond);
+  CHECK(cluster.members["o0"].record->majority(cluster.now));
+}
--- a/tests/model_sockets_test.cpp
+++ b/tests/model_sockets_test.cpp
@@ -6,8 +6,8 @@
 
 #include "log/log.h"
 #include "model/study.h"
-#include "stage.h"
 #include "support/program.h"
+#include "testbed.h"
 
 namespace marblehub::test {
 namespace {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -55,7 +55,7 @@
     std::size_t moved = 0;
     for (std::size_t i = 0; i < planners.size(); ++i) {
       Plan plan = planners[i].plan(now);
-      last = plan.still;
+      last = plan.state;
       for (std::uint64_t id : plan.moves) {
         moved += 1;
         moves.push_back(now);
@@ -84,7 +84,7 @@
   std::set<std::string> silent;
   std::set<std::uint64_t> went;
   std::vector<Time> moves;
-  Still last = Still::starting;
+  PlannerState last = PlannerState::starting;
   std::uint64_t next = 1;
   bool lands = true, dry = false;
 };
@@ -113,13 +113,13 @@
 TEST_CASE("the planner narrows a gap to a quarter and then stands still") {
   Floor f = uneven(free_settings());
   CHECK(f.run(59) == 0);  // its first minute counts as spent
-  CHECK(f.last == Still::starting);
+  CHECK(f.last == PlannerState::starting);
   f.step();
   double before = f.planners[0].gap();
   CHECK(before > 0.5);
   f.run(300);
   CHECK(f.planners[0].gap() < before / 4);
-  CHECK(f.last == Still::balanced);
+  CHECK(f.last == PlannerState::balanced);
   CHECK(f.run(120) == 0);
 }
 
@@ -140,7 +140,7 @@
   one.run(400);
   CHECK(most_in_a_minute(one.moves) <= 7);
   CHECK(one.moves.size() > 20);
-  CHECK(one.last == Still::spent);
+  CHECK(one.last == PlannerState::spent);
   for (double fleet : {30.0, 4.0}) {  // three for each of ten balancers, and fewer than one
     s.moves_a_minute = 1000;
     s.fleet_a_minute = fleet;
@@ -163,7 +163,7 @@
   f.run(180);
   for (std::uint64_t id : f.went) CHECK(fresh.count(id) == 1);
   CHECK(f.went.size() == 4);
-  CHECK(f.last == Still::none_movable);
+  CHECK(f.last == PlannerState::none_movable);
   f.run(60);
   CHECK(f.went.size() > 4);
 }
@@ -206,7 +206,7 @@
     f.run(61);
     f.planners[0].pause(true);
     CHECK(f.run(30) == 0);
-    CHECK(f.last == Still::paused);
+    CHECK(f.last == PlannerState::paused);
     f.planners[0].pause(false);
     CHECK(f.run(30) > 0);
   }
@@ -216,7 +216,7 @@
     s.quiet_from = (minute + 1430) % 1440, s.quiet_to = (minute + 3) % 1440;
     Floor f = uneven(s);
     CHECK(f.run(170) == 0);
-    CHECK(f.last == Still::quiet);
+    CHECK(f.last == PlannerState::quiet);
     CHECK(f.run(60) > 0);
   }
   SECTION("reports are stale; it goes on only after they have been fresh for a while") {
@@ -225,35 +225,35 @@
     f.run(70);
     f.silent = {"a", "b"};
     f.run(30);
-    CHECK(f.last == Still::stale);
+    CHECK(f.last == PlannerState::stale);
     f.silent.clear();
     CHECK(f.run(5) == 0);
-    CHECK(f.last == Still::stale);
+    CHECK(f.last == PlannerState::stale);
     f.run(10);
-    CHECK(f.last != Still::stale);
+    CHECK(f.last != PlannerState::stale);
   }
   SECTION("nothing is known of most workers") {
     Floor f = uneven(free_settings());
     f.silent = {"a", "b"};
     f.run(100);
-    CHECK(f.last == Still::blind);
+    CHECK(f.last == PlannerState::blind);
   }
   SECTION("refusals rise") {
     Floor f = uneven(free_settings());
     f.run(61);
     for (int i = 0; i < 100; ++i) f.planners[0].answered(f.now, i % 10 == 0);
     CHECK(f.run(2) == 0);
-    CHECK(f.last == Still::refusals);
+    CHECK(f.last == PlannerState::refusals);
     for (int i = 0; i < 900; ++i) f.planners[0].answered(f.now, false);
     CHECK(f.run(8) == 0);  // not at once
     f.run(10);
-    CHECK(f.last == Still::acting);
+    CHECK(f.last == PlannerState::acting);
   }
   SECTION("overload") {
     Floor f = uneven(free_settings(), 1, 60);
     f.capacity = 45;  // a mean load of 0.89
     CHECK(f.run(120) == 0);
-    CHECK(f.last == Still::overload);
+    CHECK(f.last == PlannerState::overload);
   }
   SECTION("what clients gain until they leave is less than the price") {
     Settings s = free_settings();
@@ -277,7 +277,7 @@
       for (std::uint64_t id : brief) g.planners[0].gone(id), g.loads["a"] -= 1;
       g.loads["a"] = 30;
     }
-    CHECK(g.last == Still::no_gain);
+    CHECK(g.last == PlannerState::no_gain);
   }
   SECTION("the session store's budget is used up") {
     Settings s = free_settings();
@@ -287,7 +287,7 @@
     for (int i = 0; i < 12; ++i)
       f.planners[0].stands(f.now, {10000 + static_cast<std::uint64_t>(i), "c", 1, 0, false, false});
     CHECK(f.run(30) == 0);
-    CHECK(f.last == Still::store);
+    CHECK(f.last == PlannerState::store);
   }
   SECTION("moves do not narrow the gap: it rests, and longer each time") {
     Floor f = uneven(free_settings(), 1, 600);
@@ -296,7 +296,7 @@
     std::vector<bool> rests;
     for (int i = 0; i < 900; ++i) {
       f.step();
-      rests.push_back(f.last == Still::no_better);
+      rests.push_back(f.last == PlannerState::no_better);
       for (const char* name : {"a", "b"})
         while (f.loads[name] < 600) f.stand(0, name, 2);
     }
@@ -316,7 +316,7 @@
   Floor f = uneven(free_settings());
   f.worker("c", false);
   CHECK(f.run(120) == 0);  // a and b are even, and c is none any more
-  CHECK(f.last == Still::balanced);
+  CHECK(f.last == PlannerState::balanced);
 }
 
 TEST_CASE("what a cold worker has headroom for comes as it warms") {
--- /dev/null
+++ b/tests/support/exchange/registry.cpp
@@ -0,0 +1,151 @@
+// The stand-in of service discovery.
+#include "support/exchange/player.h"
+
+namespace marblehub::test {
+
+void ExchangePlayer::tell(const std::string& name, const std::string& status) {
+  if (name == "503") {
+    fail_next_ = true;
+  } else if (name == "piece") {
+    REQUIRE(registry_);
+    registry_->send(with_addresses(with_line_ends(status)));
+  } else if (name == "full") {
+    fill_queue(registry_fd_, registry_fillers_);
+    registry_accepts_ = false;
+  } else if (name == "accept") {
+    drain_accept_queue(registry_fd_, registry_fillers_);
+    registry_accepts_ = true;
+  } else if (name == "within") {
+    return until([&] { return registry_asked(); }, std::stoi(status));
+  } else if (name == "joins") {
+    REQUIRE(registry_joins_ == std::stoi(status));
+  } else if (name == "ends") {
+    return registry_ends(status);
+  } else if (name == "hold" || name == "release") {
+    registry_held_ = name == "hold";
+  } else if (name == "raw" || name == "body") {
+    answer_literally(name, with_addresses(with_line_ends(status)));
+  } else if (name == "fin") {
+    ::shutdown(registry_->fd, SHUT_WR);
+  } else if (name == "rst") {
+    registry_->reset();
+    registry_.reset();
+  } else if (name == "down") {
+    registry_down();
+  } else if (name == "up") {
+    registry_up();
+  } else if (name == "version") {
+    index_ = std::stoi(status) - 1;
+  } else if (name == "hush") {
+    registry_->in.clear();
+  } else {
+    entries_[name]["status"] = status;
+    changed_.push_back(entries_[name]);
+  }
+  pump();
+}
+
+void ExchangePlayer::reload(const std::string& path, const std::string& value) {
+  if (path == "registry") {
+    ::close(registry_fd_);
+    if (registry_) registry_before_.push_back(std::move(registry_));
+    registry_fd_ = bound(SOCK_STREAM | SOCK_NONBLOCK);
+    ::listen(registry_fd_, 16);
+    registry_fillers_.clear();
+    registry_accepts_ = true;
+    program_->config()["discovery"] = text_of(port_of(registry_fd_));
+    whole_ = true;
+  } else if (!value.empty()) {
+    program_->config()[pointer_to(path)] = json::parse(value);
+  }
+  if (path.empty())
+    program_->remove_config();
+  else
+    program_->write(value.empty() && path != "registry" ? path : program_->config().dump());
+  program_->signal(SIGHUP);
+}
+
+void ExchangePlayer::answer_literally(const std::string& form, const std::string& text) {
+  until([&] { return registry_ && registry_->in.find("\r\n\r\n") != std::string::npos; }, kStepTimeout);
+  registry_->in.clear();
+  if (form == "raw") return registry_->send(text);
+  registry_->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
+}
+
+void ExchangePlayer::registry_down() {
+  registry_port_ = port_of(registry_fd_);
+  ::close(std::exchange(registry_fd_, -1));
+  if (registry_) registry_->reset();
+  registry_.reset();
+}
+
+void ExchangePlayer::registry_up() {
+  registry_fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  int on = 1;
+  setsockopt(registry_fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  sockaddr_in address = loopback(registry_port_);
+  REQUIRE(::bind(registry_fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0);
+  ::listen(registry_fd_, 16);
+}
+
+bool ExchangePlayer::registry_asked() const {
+  return registry_ && registry_->in.starts_with("GET ") &&
+         registry_->in.find("\r\n\r\n") != std::string::npos;
+}
+
+void ExchangePlayer::registry_ends(const std::string& how) {
+  std::size_t limit = how.find(" [");
+  auto end = how.starts_with("fin") ? Conn::fin : Conn::rst;
+  until([&] { return registry_ && registry_->end == end; },
+        limit == std::string::npos ? kStepTimeout : std::stoi(how.substr(limit + 2)));
+}
+
+std::string ExchangePlayer::with_addresses(std::string text) {
+  const std::string sign = "~address ";
+  for (std::size_t at; (at = text.find(sign)) != std::string::npos;) {
+    std::size_t end = text.find('~', at + sign.size());
+    std::string worker = text.substr(at + sign.size(), end - at - sign.size());
+    text.replace(at, end + 1 - at, text_of(port_of(workers_.at(worker).fd)));
+  }
+  return text;
+}
+
+// One call out at a time is answered when there is news; a first call at once.
+void ExchangePlayer::serve_registry() {
+  int fd = registry_fd_ < 0 || !registry_accepts_
+               ? -1
+               : ::accept4(registry_fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  if (fd >= 0) {
+    ++registry_joins_;
+    registry_ = std::make_unique<Conn>();
+    registry_->fd = fd;
+  }
+  if (!registry_) return;
+  registry_->read();
+  if (registry_held_) return;
+  if (registry_->in.find("\r\n\r\n") == std::string::npos) return;
+  if (fail_next_) {
+    registry_->send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    fail_next_ = false;
+  } else if (std::exchange(whole_, false)) {  // a registry that has moved is asked for all it knows
+    REQUIRE(registry_->in.starts_with("GET /registry/instances HTTP"));
+    json all = json::array();
+    for (auto& [name, entry] : entries_) all.push_back(entry);
+    changed_.clear();
+    answer({{"index", ++index_}, {"snapshot", true}, {"endpoints", all}});
+  } else if (!changed_.empty()) {
+    json body = {
+        {"index", ++index_}, {"snapshot", false}, {"endpoints", std::exchange(changed_, json::array())}};
+    answer(body);
+  } else {
+    return;
+  }
+  registry_->in.clear();
+}
+
+void ExchangePlayer::answer(const json& body) {
+  std::string text = body.dump();
+  registry_->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
+}
+
+}  // namespace marblehub::test
--- /dev/null
+++ b/tests/support/exchange/workers.cpp
@@ -0,0 +1,54 @@
+// The stand-in workers.
+#include "support/exchange/player.h"
+
+namespace marblehub::test {
+
+void ExchangePlayer::add_worker(const std::string& name) {
+  Worker& w = workers_[name];
+  w.fd = bound(SOCK_STREAM | SOCK_NONBLOCK);
+  ::listen(w.fd, 64);
+  add_entry(name, text_of(port_of(w.fd)));
+}
+
+void ExchangePlayer::add_entry(const std::string& name, const std::string& address) {
+  entries_[name] = {{"name", name}, {"address", address}, {"zone", "a"},   {"type", "m"},
+                    {"group", 0},   {"status", "ready"},  {"weight", 1.0}, {"since_ms", 0}};
+}
+
+void ExchangePlayer::add_unreachable(int count) {
+  for (int i = 0; i < count; ++i) add_entry("unreachable" + std::to_string(i), text_of(1));
+}
+
+// A connect to a full listen queue hangs: its SYN is dropped and sent again a second later.
+void ExchangePlayer::fill_queue(int listener, std::vector<std::unique_ptr<Conn>>& fillers) {
+  ::listen(listener, 0);
+  for (int i = 0; i < 2; ++i) {
+    auto filler = std::make_unique<Conn>();
+    filler->fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    sockaddr_in to = loopback(port_of(listener));
+    ::connect(filler->fd, reinterpret_cast<sockaddr*>(&to), sizeof to);
+    fillers.push_back(std::move(filler));
+  }
+}
+
+bool ExchangePlayer::probed(const Worker& worker) {
+  return std::any_of(worker.all.begin(), worker.all.end(), [](const auto& c) {
+    return !c->call && c->end == Conn::open && c->in.starts_with("STATS\r\n");
+  });
+}
+
+// Waits for the connection, as one that hung comes up late.
+void ExchangePlayer::drop_callless(Worker& worker) {
+  auto callless = [](const auto& c) { return !c->call && c->end == Conn::open && c->fd >= 0; };
+  until([&] { return std::any_of(worker.all.begin(), worker.all.end(), callless); }, kStepTimeout);
+  for (auto& c : worker.all)
+    if (callless(c)) c->reset();
+  std::erase_if(worker.all, [](const auto& c) { return c->fd < 0; });
+}
+
+void ExchangePlayer::drain_accept_queue(int listener, std::vector<std::unique_ptr<Conn>>& fillers) {
+  ::listen(listener, 64);
+  fillers.clear();
+}
+
+}  // namespace marblehub::test
