--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -130,7 +130,7 @@
     b.now = now_ + kStep;
     for (auto& [at, name] : std::exchange(b.probes, {})) answer_probe(b, name);
     for (auto& [id, name] : std::exchange(b.placed, {})) take(number, id, index(name));
-    b.declined.clear();
+    b.rejected.clear();
   }
 
   int index(const std::string& name) const { return std::stoi(name.substr(1)); }
--- a/tests/fleet/processes/stand_ins.cpp
+++ b/tests/fleet/processes/stand_ins.cpp
@@ -12,9 +12,9 @@
 namespace marblehub::test {
 namespace {
 
-constexpr double kPatience = 4;  // seconds a client waits for its answer
-constexpr double kEach = 0.5;    // seconds between two of its lines
-constexpr double kSilent = 7;    // that a connection may bring nothing back
+constexpr double kClientTimeout = 4;  // seconds a client waits for its answer
+constexpr double kEach = 0.5;         // seconds between two of its lines
+constexpr double kSilent = 7;         // that a connection may bring nothing back
 
 void send_line(int fd, const std::string& text) {
   std::string line = text + "\r\n";
@@ -244,7 +244,7 @@
     return false;
   };
   pollfd ready{client.fd, static_cast<short>(client.sent ? POLLIN : POLLOUT), 0};
-  if (::poll(&ready, 1, 0) <= 0) return now() - client.answer.asked < kPatience || over("none");
+  if (::poll(&ready, 1, 0) <= 0) return now() - client.answer.asked < kClientTimeout || over("none");
   if (!client.sent) {
     int error = 0;
     socklen_t size = sizeof error;
--- a/tests/fleet/random/rules_test.cpp
+++ b/tests/fleet/random/rules_test.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 using reading::kStart;
-constexpr Time kPatience = 300 * kMillisecond;  // half a lease, which is more than three bounds of the clock
+constexpr Time kElectionTimeout =
+    300 * kMillisecond;  // half a lease, which is more than three bounds of the clock
 
 struct Voter {
   Voter() {
@@ -74,7 +75,7 @@
 
 // From now on, in term 1.
 void votes_only_after_election_timeout(Voter& voter) {
-  voter.now += kPatience - 1;
+  voter.now += kElectionTimeout - 1;
   CHECK(voter.ask(2).empty());
   CHECK(voter.record->term() == 1);
   voter.now += 1;
@@ -116,13 +117,13 @@
   leader.tick();
   REQUIRE(leader.record->grant());
   const Time until = leader.record->grant()->until;
-  leader.now = taken.beat + kPatience;  // boris may have voted for another by now
-  leader.hear(taken);                   // again: the network had kept a copy
+  leader.now = taken.beat + kElectionTimeout;  // boris may have voted for another by now
+  leader.hear(taken);                          // again: the network had kept a copy
   leader.tick();
   CHECK(leader.record->grant()->until == until);
   taken.beat = leader.now;
   leader.hear(taken);
-  leader.now += kPatience / 4;
+  leader.now += kElectionTimeout / 4;
   leader.tick();
   CHECK(leader.record->grant()->until > until);
 }
@@ -133,7 +134,7 @@
   taken.beat = leader.lead().back().beat;
   taken.term = leader.record->term();
   leader.hear(taken);  // a majority speaks to it, and what was activated before it may stand in its log
-  leader.now += kPatience / 4;
+  leader.now += kElectionTimeout / 4;
   leader.tick();
   CHECK_FALSE(leader.record->grant());
   taken.index = 1;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -296,7 +296,7 @@
         b->run(50'000);
         if (b->placed.count(id) && !std::exchange(stands, true)) b->handle(EstablishedEvent{id, 0, 1000});
       }
-      CHECK(stands + std::count(b->declined.begin(), b->declined.end(), id) == 1);
+      CHECK(stands + std::count(b->rejected.begin(), b->rejected.end(), id) == 1);
     }
     placed += b->placed.size(), calls += 4;
   }
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -58,7 +58,7 @@
   b.handle(RequestEvent{id, 0, 2'000'000, 0, false, 0, only});
   b.run(2'000'000);
   CHECK(!b.placed.count(id));
-  CHECK(std::count(b.declined.begin(), b.declined.end(), id) == 1);
+  CHECK(std::count(b.rejected.begin(), b.rejected.end(), id) == 1);
 }
 
 // A pool that answers nothing fills its own limit of attempts at once. A call of another pool does not wait
@@ -141,7 +141,7 @@
     b.run(100'000);
     CHECK(b.ask() != "w1");
   }
-  CHECK(b.declined.empty());
+  CHECK(b.rejected.empty());
   CHECK(b.moved.size() == 10);
 }
 
--- a/tests/support/module_bench.h
+++ b/tests/support/module_bench.h
@@ -43,7 +43,7 @@
       }
       if (auto* probe = std::get_if<Probe>(&action)) probes.emplace_back(now, probe->backend);
       if (auto* sent = std::get_if<Submit>(&action)) placed[sent->id] = sent->backend;
-      if (auto* refusal = std::get_if<Reject>(&action)) declined.push_back(refusal->id);
+      if (auto* refusal = std::get_if<Reject>(&action)) rejected.push_back(refusal->id);
       if (std::holds_alternative<Track>(action)) tracks.push_back(now);
     }
   }
@@ -80,7 +80,7 @@
   std::map<Time, int> moves_this_second;
   std::vector<std::pair<Time, std::string>> probes;
   std::map<std::uint64_t, std::string> placed;
-  std::vector<std::uint64_t> declined;
+  std::vector<std::uint64_t> rejected;
   std::vector<Time> tracks;  // when the list was asked for
 };
 
