--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -21,6 +21,8 @@
 struct Overloaded : Parts... {
   using Parts::operator()...;
 };
+template <class... Parts>
+Overloaded(Parts...) -> Overloaded<Parts...>;  // clang before 17 needs it
 
 }  // namespace
 
--- a/bench/fleet_routes.cpp
+++ b/bench/fleet_routes.cpp
@@ -94,14 +94,15 @@
             std::to_string(i / 8) + R"(", "pool": "north"})";
   const Matcher matcher(table_of(text + "]}", "bench"));
   std::vector<std::string> areas;
+  areas.reserve(1024);
   for (int i = 0; i < 1024; ++i) areas.push_back(std::to_string(i * 7 % 600));
   Pools sum = 0;
-  constexpr int kCalls = 4'000'000;
+  constexpr int calls = 4'000'000;
   const auto began = std::chrono::steady_clock::now();
-  for (int i = 0; i < kCalls; ++i) sum += matcher.route("c3", "acme", areas[i % 1024]).pool & 3;
+  for (int i = 0; i < calls; ++i) sum += matcher.route("c3", "acme", areas[i % 1024]).pool & 3;
   const double ns =
       std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - began).count();
-  std::printf("4,096 rules: %.0f ns a call (%llu)\n", ns / kCalls, static_cast<unsigned long long>(sum));
+  std::printf("4,096 rules: %.0f ns a call (%llu)\n", ns / calls, static_cast<unsigned long long>(sum));
 }
 
 }  // namespace
--- a/bench/quic_forward.cpp
+++ b/bench/quic_forward.cpp
@@ -4,9 +4,9 @@
 #include <fmt/format.h>
 #include <pthread.h>
 #include <sys/resource.h>
-#include <time.h>
 
 #include <atomic>
+#include <ctime>
 #include <thread>
 #include <vector>
 
--- a/conformance/peers/tls.cpp
+++ b/conformance/peers/tls.cpp
@@ -57,6 +57,7 @@
     left -= size;
   }
   std::vector<gnutls_datum_t> protocols;
+  protocols.reserve(names.size());
   for (std::string& name : names)
     protocols.push_back({reinterpret_cast<unsigned char*>(name.data()), static_cast<unsigned>(name.size())});
   gnutls_alpn_set_protocols(session, protocols.data(), static_cast<unsigned>(protocols.size()), 0);
--- a/conformance/suites/migration.cpp
+++ b/conformance/suites/migration.cpp
@@ -49,6 +49,7 @@
   none.id_length = 0;
   Testbed testbed({"g-1"}, usual());
   std::vector<Client*> all;
+  all.reserve(4);
   for (int i = 0; i < 4; ++i) all.push_back(&testbed.client(none));
   testbed.run(2500, [&] { return testbed.all_up(); });
   bool good = testbed.all_up();
--- a/conformance/suites/workers.cpp
+++ b/conformance/suites/workers.cpp
@@ -55,6 +55,7 @@
     std::string way = proxy ? " (proxy-v2)" : " (socket)";
     Testbed testbed({"g-1", "g-2"}, usual(proxy));
     std::vector<Client*> all;
+    all.reserve(8);
     for (int i = 0; i < 8; ++i) all.push_back(&testbed.client());
     testbed.run(3000, [&] { return testbed.all_up(); });
     std::size_t there = testbed.worker(0).connections();
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -1,12 +1,13 @@
-// marblehub::policy: every decision of a balancer for long-lived connections, with no I/O, clock or wire.
-//
-// A relay makes one Balancer, hands it every event with the time at which it was seen, and carries out the
-// actions it gets back, in order. No I/O, no clock, no thread and no global state: the same settings, seed
-// and events always give the same actions. All times are microseconds on a clock that only advances.
+/// marblehub::policy: every decision of a balancer for long-lived connections, with no I/O, clock or wire.
+///
+/// A relay makes one Balancer, hands it every event with the time at which it was seen, and carries out the
+/// actions it gets back, in order. No I/O, no clock, no thread and no global state: the same settings, seed
+/// and events always give the same actions. All times are microseconds on a clock that only advances.
 #pragma once
 
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <string_view>
@@ -17,25 +18,25 @@
 
 using Time = std::int64_t;  // microseconds
 
-// A number for a name, the same at every relay and in every build (FNV-1a).
+/// A number for a name, the same at every relay and in every build (FNV-1a).
 constexpr std::uint64_t name_hash(std::string_view name) {
   std::uint64_t h = 0xcbf29ce484222325;
   for (char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3;
   return h;
 }
 
-// The same with every bit spread over all others (the finaliser of MurmurHash3), to rank names by.
+/// The same with every bit spread over all others (the finaliser of MurmurHash3), to rank names by.
 constexpr std::uint64_t mixed(std::uint64_t x) {
   x ^= x >> 33, x *= 0xff51afd7ed558ccd, x ^= x >> 33, x *= 0xc4ceb9fe1a85ec53;
   return x ^ x >> 33;
 }
 
 // ---- Settings, handed in once
-// ------------------------------------------------------------------------------
 
 enum class Repeat { safe, keyed, unsafe };  // what a second effect of the same request would do
 enum class DedupScope { all, zone, cell };  // keyed only: the backends that drop each other's repeats
 
+/// What is common to the requests of one class.
 struct RequestClass {
   std::string name;
   Time slo_us = 0;          // an answer within this earns the full worth
@@ -46,6 +47,7 @@
   bool stream = false;  // a connection: Established arrives once it stands
 };
 
+/// What a balancer is told once, for its life. Times in microseconds.
 struct Settings {
   int balancers = 1;  // relays in this tier, this one included
   int me = 0;         // this relay's number among them, from 0
@@ -68,14 +70,21 @@
   double price_cross_zone = 0;  // points for every attempt crossing zones
 };
 
-// A missing or impossible figure, named by its key; empty when all is well.
-std::string settings_error(const Settings& settings);
+/// A missing or impossible figure of the settings, by the key that the simulator's and the platform's pages
+/// give it.
+struct SettingsError {
+  std::string key;
+};
+
+/// The first one found; none when all is well.
+std::optional<SettingsError> validate(const Settings& settings);
 
 // ---- Events
-// ------------------------------------------------------------------------------------------------
 
+/// How the endpoint list has a backend.
 enum class Health { serving, draining, deleted };
 
+/// A backend, as the endpoint list has it.
 struct BackendEntry {
   Health health = Health::serving;
   std::string address;
@@ -85,13 +94,17 @@
   std::int64_t cell = -1;
 };
 
+/// What a list is: changes since the one before, all there are, what was remembered from before the start, or
+/// the news that the call for it has failed.
 enum class ListForm { changes, all, remembered, refused };
 
+/// The endpoint list, or a change of it.
 struct MembersEvent {
   ListForm form = ListForm::all;
   std::shared_ptr<const std::vector<BackendEntry>> entries;  // none when refused
 };
 
+/// A client asks for a connection.
 struct RequestEvent {
   std::uint64_t id = 0;
   int request_class = 0;    // index into Settings::classes
@@ -102,23 +115,28 @@
   std::shared_ptr<const std::set<std::string>> only = nullptr;  // the backends it may use; none: any
 };
 
-struct HandoverEvent {  // a connection already open at start: attempt 0 stands at the backend
+/// A connection that is open already at the start: attempt 0 stands at the backend.
+struct HandoverEvent {
   RequestEvent request;
   std::string backend;
 };
 
+/// An attempt has been accepted: its connection stands.
 struct EstablishedEvent {
   std::uint64_t id = 0;
   int attempt = 0;
   Time rtt = 0;
 };
 
+/// How an attempt or a probe has ended.
 enum class Outcome { served, error, full, timeout, connect_failed, reset, cancelled, not_sent };
 
+/// What a backend says of its load.
 struct LoadReport {
   double load = -1;  // load asked over what the backend can do; negative: not reported
 };
 
+/// An attempt, or the connection that came of it, is over.
 struct ResultEvent {
   std::uint64_t id = 0;
   int attempt = 0;
@@ -129,6 +147,7 @@
   LoadReport report;
 };
 
+/// A probe has been answered, or is over without an answer.
 struct ProbeResultEvent {
   std::string backend;
   Time rtt = 0;
@@ -136,8 +155,10 @@
   LoadReport report;
 };
 
+/// What a note tells of.
 enum class NoteKind { load_changed, messages_slow };
 
+/// News of a standing connection.
 struct NoteEvent {
   std::uint64_t id = 0;
   int attempt = 0;
@@ -145,10 +166,12 @@
   double level = 0;  // load_changed: work a second in microseconds; messages_slow: milliseconds a message
 };
 
+/// A timer that the policy has set is due.
 struct TimerEvent {
   std::uint64_t cookie = 0;
 };
 
+/// A client has left before it was answered.
 struct ClientGoneEvent {
   std::uint64_t id = 0;
 };
@@ -157,27 +180,33 @@
                            ProbeResultEvent, NoteEvent, TimerEvent, ClientGoneEvent>;
 
 // ---- Actions
-// -----------------------------------------------------------------------------------------------
 
-struct Submit {  // begin an attempt; given up at not_past
+/// Begin an attempt; it is given up at not_past.
+struct Submit {
   std::uint64_t id = 0;
   std::string backend;
   Time not_past = 0;
 };
-struct Reject {  // final answer: rejected, trying again is harmless; retry_after 0: no hint
+/// Final answer: rejected, trying again is harmless. retry_after 0: no hint.
+struct Reject {
   std::uint64_t id = 0;
   Time retry_after = 0;
 };
-struct Fail {  // final answer: failed, promising nothing
+/// Final answer: failed, promising nothing.
+struct Fail {
   std::uint64_t id = 0;
 };
-struct Redirect {  // end an open connection politely; its client comes back
+/// End an open connection politely; its client comes back.
+struct Redirect {
   std::uint64_t id = 0;
 };
+/// Send a health check.
 struct Probe {
   std::string backend;
 };
-struct Track {};  // ask discovery for changes from now on
+/// Ask service discovery for changes from now on.
+struct Track {};
+/// Send a TimerEvent with this cookie after so long.
 struct SetTimer {
   Time after = 0;
   std::uint64_t cookie = 0;
@@ -186,24 +215,25 @@
 using Action = std::variant<Submit, Reject, Fail, Redirect, Probe, Track, SetTimer>;
 
 // ---- The balancer
-// ------------------------------------------------------------------------------------------
 
+/// Every decision of one balancer. Movable, not copyable; not safe for use by several threads at once.
 class Balancer {
  public:
+  /// `settings` must be valid (see validate); `seed` fixes all chance; `now` is the time of the start.
   Balancer(Settings settings, std::uint64_t seed, Time now);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Appends what to do about the event. Events on unknown or ended requests and backends change nothing.
+  /// Appends what to do about the event. Events on unknown or ended requests and backends change nothing.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  // From now on the fleet's budgets are shared by so many relays, 1 at least, in place of
-  // Settings::balancers: where relays know of each other how many are there. Probes earned until then are
-  // kept.
+  /// From now on the fleet's budgets are shared by so many relays, 1 at least, in place of
+  /// Settings::balancers: where relays know of each other how many are there. Probes earned until then are
+  /// kept.
   void shared_by(int balancers);
 
-  // What the bookkeeping holds, for a relay's own metrics and for tests.
+  /// What the bookkeeping holds, for a relay's own metrics and for tests.
   struct Counts {
     std::size_t unanswered = 0;  // requests still owed a final answer
     std::size_t open = 0;        // connections that stand
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -122,7 +122,7 @@
 WorkerList list_from(const Options& options) {
   using marblehub::policy::Health;
   WorkerList list;
-  constexpr std::int64_t kLatestStart = std::numeric_limits<std::int64_t>::max() / 1000;  // in microseconds
+  constexpr std::int64_t latest_start = std::numeric_limits<std::int64_t>::max() / 1000;  // in microseconds
   list.index = options.number<std::int64_t>("index", 0);
   list.snapshot = options.flag("snapshot");
   auto count = options.number_or<std::size_t>("endpoints.count", 0, 0);
@@ -141,7 +141,7 @@
     entry.backend.cell = options.number_or<std::int64_t>(path + "group", -1, -1);
     entry.backend.scale = options.number_or<double>(path + "weight", 0, 1);
     auto since_ms = options.number_or<std::int64_t>(path + "since_ms", 0, 0);
-    if (since_ms > kLatestStart) options.refuse(path + "since_ms", "milliseconds since 1970");
+    if (since_ms > latest_start) options.refuse(path + "since_ms", "milliseconds since 1970");
     entry.backend.start_time = since_ms * 1000;
     list.workers.push_back(std::move(entry));
   }
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -52,7 +52,7 @@
     if (static_cast<std::size_t>(i) < aims.size()) c.message_aim_us = static_cast<Time>(aims[i]);
     s.classes.push_back(std::move(c));
   }
-  if (std::string key = settings_error(s); !key.empty()) options.refuse(key, "another value");
+  if (auto error = validate(s)) options.refuse(error->key, "another value");
   return s;
 }
 
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -17,9 +17,20 @@
 
 namespace marblehub::config {
 
-// What is wrong with the input, as one plain line.
-struct DecodeError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+/// What is wrong with the input: what() is one plain line that names the place and, where one is at fault,
+/// the key.
+class DecodeError : public std::runtime_error {
+ public:
+  explicit DecodeError(const std::string& message) : std::runtime_error(message) {}
+  DecodeError(const std::string& place, std::string_view key, std::string_view expected)
+      : std::runtime_error(place + "setting " + std::string(key) + ": expected " + std::string(expected)),
+        key_(key) {}
+
+  /// The key at fault; empty where the input as a whole is wrong.
+  const std::string& key() const { return key_; }
+
+ private:
+  std::string key_;
 };
 
 template <class Number>
@@ -43,7 +54,7 @@
       : values_(std::move(values)), place_(std::move(place)), whole_(&whole), prefix_(std::move(prefix)) {}
 
   [[noreturn]] void refuse(std::string_view key, std::string_view expected) const {
-    throw DecodeError(place_ + "setting " + std::string(key) + ": expected " + std::string(expected));
+    throw DecodeError(place_, key, expected);
   }
   const std::string* find(std::string_view key) const {
     auto it = values_.find(key);
--- a/src/fleet/net/clock.cpp
+++ b/src/fleet/net/clock.cpp
@@ -6,6 +6,8 @@
 #include <fstream>
 #include <stdexcept>
 
+#include "fleet/storage_error.h"
+
 namespace marblehub::fleet {
 namespace {
 
@@ -29,14 +31,14 @@
   const std::string file = data + "/incarnation", next = file + ".next";
   std::uint64_t last = 0;
   if (std::ifstream in(file); in && !(in >> last))
-    throw std::runtime_error(file + ": a number expected; if the folder's voter is new, take it away");
+    throw StorageError(file + ": a number expected; if the folder's voter is new, take it away");
   incarnation = std::max(incarnation, last + 1);
   std::ofstream out(next);
   out << incarnation << '\n';
   out.close();
   std::error_code error;
   std::filesystem::rename(next, file, error);
-  if (!out || error) throw std::runtime_error(file + ": cannot be written");
+  if (!out || error) throw StorageError(file + ": cannot be written");
   return incarnation;
 }
 
--- a/src/fleet/net/clock.h
+++ b/src/fleet/net/clock.h
@@ -11,7 +11,7 @@
 
 // A number for this process that is above that of every earlier one of its name: by the clock, and where
 // `data` names a folder also by what is kept there, for a clock that was put back. Throws
-// std::runtime_error where the folder cannot be written.
+// StorageError where the folder cannot be written.
 std::uint64_t new_incarnation(const std::string& data, Time now);
 
 // The clock of the fleet: the loop's, and in test builds (MARBLEHUB_CHECKS) carried off by the microseconds
--- a/src/fleet/record/command_octets.cpp
+++ b/src/fleet/record/command_octets.cpp
@@ -53,6 +53,7 @@
 auto listed(const Named& named, Fill&& fill) {
   using Entry = std::remove_pointer_t<decltype(fill(*named.begin()))>;
   std::vector<std::unique_ptr<Entry>> out;
+  out.reserve(named.size());
   for (const auto& each : named) out.emplace_back(fill(each));
   return out;
 }
--- a/src/fleet/record/lmdb_disk.cpp
+++ b/src/fleet/record/lmdb_disk.cpp
@@ -10,6 +10,7 @@
 #include <stdexcept>
 
 #include "fleet/record/octets.h"
+#include "fleet/storage_error.h"
 
 namespace marblehub::fleet {
 namespace {
@@ -84,7 +85,7 @@
     const std::string why = "record: " + what;
     if (env_ != nullptr) mdb_env_close(env_);
     if (lock_ >= 0) close(lock_);
-    throw std::runtime_error(why);
+    throw StorageError(why);
   };
   const std::string lock_file = folder + "/record.lock";
   lock_ = open(lock_file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
@@ -159,16 +160,15 @@
 Disk::Contents LmdbDisk::load() {
   MDB_txn* txn = nullptr;
   int code = mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn);
-  if (code != 0) throw std::runtime_error("record: " + file_ + " cannot be read: " + mdb_strerror(code));
+  if (code != 0) throw StorageError("record: " + file_ + " cannot be read: " + mdb_strerror(code));
   const std::unique_ptr<MDB_txn, void (*)(MDB_txn*)> ended(txn, mdb_txn_abort);
   Cursor cursor(txn, table_);
-  if (cursor.at == nullptr) throw std::runtime_error("record: " + file_ + " cannot be read: no memory");
+  if (cursor.at == nullptr) throw StorageError("record: " + file_ + " cannot be read: no memory");
   Contents contents;
   MDB_val key{}, value{};
   while ((code = mdb_cursor_get(cursor.at, &key, &value, MDB_NEXT)) == 0) {
     const auto refuse = [&](const std::string& what) {
-      throw std::runtime_error("record: " + file_ + " at offset " + std::to_string(offset_of(value)) + ": " +
-                               what);
+      throw StorageError("record: " + file_ + " at offset " + std::to_string(offset_of(value)) + ": " + what);
     };
     std::string_view octets = view(value);
     const std::string name(view(key));
@@ -197,11 +197,10 @@
       contents.entries.push_back({index, term, std::string(octets)});
     }
   }
-  if (code != MDB_NOTFOUND) throw std::runtime_error("record: " + file_ + ": " + mdb_strerror(code));
+  if (code != MDB_NOTFOUND) throw StorageError("record: " + file_ + ": " + mdb_strerror(code));
   if (!contents.entries.empty() && contents.entries.front().index != contents.snapshot_index + 1)
-    throw std::runtime_error("record: " + file_ + " at entry " +
-                             std::to_string(contents.entries.front().index) +
-                             ": those between it and the snapshot are missing");
+    throw StorageError("record: " + file_ + " at entry " + std::to_string(contents.entries.front().index) +
+                       ": those between it and the snapshot are missing");
   return contents;
 }
 
--- a/src/fleet/record/lmdb_disk.h
+++ b/src/fleet/record/lmdb_disk.h
@@ -2,7 +2,7 @@
 // 64-bit FNV-1a behind each record.
 //
 // Outcomes: the folder missing, not writable or no folder, or held by another process: the constructor throws
-// std::runtime_error with the path and why. Disk or map full, or an input/output error while writing: the
+// StorageError with the path and why. Disk or map full, or an input/output error while writing: the
 // call returns false and nothing of it is kept. A record whose hash is off, or one missing between others:
 // load throws with file, offset and key. Damage to LMDB's own pages is refused where LMDB notices it.
 #pragma once
--- a/src/fleet/record/log.cpp
+++ b/src/fleet/record/log.cpp
@@ -2,6 +2,8 @@
 
 #include <stdexcept>
 
+#include "fleet/storage_error.h"
+
 namespace marblehub::fleet {
 namespace {
 
@@ -23,8 +25,8 @@
   for (const Disk::Entry& entry : contents.entries) {
     if (entry.index <= base_) continue;
     if (entry.index != last() + 1 || !entry_of(entry, entries_.emplace_back()))
-      throw std::runtime_error("record: entry " + std::to_string(entry.index) +
-                               " on disk is no command, or not the one after " + std::to_string(last()));
+      throw StorageError("record: entry " + std::to_string(entry.index) +
+                         " on disk is no command, or not the one after " + std::to_string(last()));
   }
 }
 
--- a/src/fleet/record/log.h
+++ b/src/fleet/record/log.h
@@ -16,7 +16,7 @@
     std::optional<Command> command;  // decoded once
   };
   explicit Log(Disk* disk) : disk_(disk) {}
-  void load(const Disk::Contents& contents);  // throws std::runtime_error where an entry is no command
+  void load(const Disk::Contents& contents);  // throws StorageError where an entry is no command
 
   std::uint64_t base() const { return base_; }  // the entry before the first in memory
   std::uint64_t last() const { return base_ + entries_.size(); }
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "fleet/record/state.h"
+#include "fleet/storage_error.h"
 
 namespace marblehub::fleet {
 namespace {
@@ -34,8 +35,8 @@
     log.load(contents);
     if (contents.snapshot_index != 0 &&
         (!decode(contents.snapshot, ledger) || ledger.applied != contents.snapshot_index))
-      throw std::runtime_error("record: the snapshot on disk is not of its index " +
-                               std::to_string(contents.snapshot_index));
+      throw StorageError("record: the snapshot on disk is not of its index " +
+                         std::to_string(contents.snapshot_index));
     if (contents.fresh) set_outside(!first_fleet, 0);
     if (contents.fresh && first_fleet) vouched = true;
   }
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -42,7 +42,7 @@
     std::string snapshot;
     std::vector<Entry> entries;
   };
-  // Throws std::runtime_error with file and offset where a record is torn or flipped: never guessed.
+  // Throws StorageError with file and offset where a record is torn or flipped: never guessed.
   virtual Contents load() = 0;
 };
 
--- a/src/fleet/routes/lease.cpp
+++ b/src/fleet/routes/lease.cpp
@@ -9,16 +9,16 @@
 
 void ClockWatch::heard(Time now, const std::string& from, Time sent_at) {
   unheard_ = false;
-  constexpr Time kNever = std::numeric_limits<Time>::max();
+  constexpr Time never = std::numeric_limits<Time>::max();
   if (now - span_from_ >= kSpan || now < span_from_) {
     bool next = now >= span_from_ && now - span_from_ < 2 * kSpan;
     for (auto it = peers_.begin(); it != peers_.end();) {
-      it->second = {kNever, next ? it->second.here : kNever};
-      it = it->second.before == kNever ? peers_.erase(it) : std::next(it);
+      it->second = {never, next ? it->second.here : never};
+      it = it->second.before == never ? peers_.erase(it) : std::next(it);
     }
     span_from_ = now;
   }
-  Least& least = peers_.try_emplace(from, Least{kNever, kNever}).first->second;
+  Least& least = peers_.try_emplace(from, Least{never, never}).first->second;
   least.here = std::min(least.here, now - sent_at);
   judge();
 }
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -15,8 +15,8 @@
 
 // Of the record's words (record/command.cpp, routes/driver.cpp), for what counts in numbers.
 const char* why_aborted(std::string_view said) {
-  constexpr std::string_view kAborted = " aborted: ";
-  if (std::size_t at = said.find(kAborted); at != said.npos) said.remove_prefix(at + kAborted.size());
+  constexpr std::string_view aborted = " aborted: ";
+  if (std::size_t at = said.find(aborted); at != said.npos) said.remove_prefix(at + aborted.size());
   if (said.starts_with("not staged in time")) return "late";
   if (said.starts_with("replaced by")) return "replaced";
   return said.starts_with("its proposer is gone") ? "proposer_gone" : "refused";
@@ -24,10 +24,10 @@
 
 // The record keeps the last one: of a version that came into force since, a start finds it as history.
 bool is_history(std::string_view said, std::uint64_t in_force) {
-  constexpr std::string_view kVersion = "version ";
+  constexpr std::string_view version_word = "version ";
   std::uint64_t version = 0;
-  if (!said.starts_with(kVersion)) return false;
-  said.remove_prefix(kVersion.size());
+  if (!said.starts_with(version_word)) return false;
+  said.remove_prefix(version_word.size());
   std::from_chars(said.data(), said.data() + said.size(), version);
   return version <= in_force;
 }
--- a/src/fleet/view/exchange.cpp
+++ b/src/fleet/view/exchange.cpp
@@ -13,7 +13,6 @@
 }  // namespace
 
 using view::Kind;
-using view::News;
 using view::Said;
 
 void View::State::step_meetings(Time now, Outbox& out) {
@@ -55,7 +54,7 @@
     for (const std::string& one : some(1, is_present, {})) ask(now, one, out);
     for (auto it = members.begin(); it != members.end();) {
       const Member& member = it->second;
-      const bool old = !is_present(member.standing) && now - member.since > kForget && &member != self_;
+      const bool old = !is_present(member.standing) && now - member.since > kForget && &member != own;
       if (old) {
         gone -= is_gone(member.standing);
         gossip.forget(member.name);
--- a/src/fleet/view/gossip.cpp
+++ b/src/fleet/view/gossip.cpp
@@ -11,7 +11,7 @@
 }
 
 std::vector<News> Gossip::take(std::size_t members, std::size_t octets, const std::string& except) {
-  constexpr std::size_t kConsidered = 24;  // more than fit into a datagram
+  constexpr std::size_t considered = 24;  // more than fit into a datagram
   std::vector<std::map<std::string, Told>::iterator> next;
   for (auto it = queue_.begin(); it != queue_.end(); ++it)
     if (it->first != except) next.push_back(it);
@@ -20,9 +20,9 @@
                                               : a->second.order > b->second.order;
   };
   std::partial_sort(next.begin(),
-                    next.begin() + static_cast<std::ptrdiff_t>(std::min(kConsidered, next.size())),
-                    next.end(), before);
-  if (next.size() > kConsidered) next.resize(kConsidered);
+                    next.begin() + static_cast<std::ptrdiff_t>(std::min(considered, next.size())), next.end(),
+                    before);
+  if (next.size() > considered) next.resize(considered);
   std::vector<News> taken;
   const int most = most_times(members);
   for (auto it : next) {
--- a/src/fleet/view/state.h
+++ b/src/fleet/view/state.h
@@ -67,8 +67,8 @@
   }
   std::size_t one_of(std::size_t n) { return static_cast<std::size_t>(chance() % n); }
   std::vector<std::string> some(std::size_t count, bool (*fits)(Standing), const std::string& except);
-  Member& self() { return *self_; }
-  const Member& self() const { return *self_; }
+  Member& self() { return *own; }
+  const Member& self() const { return *own; }
   bool stopped() const { return left || twin.has_value(); }
 
   const Settings settings;
@@ -77,7 +77,7 @@
   std::uint64_t random;
 
   std::map<std::string, Member> members;
-  Member* self_;
+  Member* own;
   std::size_t present = 0, gone = 0;  // of members: alive or suspect; given up
   std::uint64_t digest = 0, generation = 1;
   Time changed;  // last, any member
--- a/src/fleet/view/view.cpp
+++ b/src/fleet/view/view.cpp
@@ -26,7 +26,7 @@
       born(std::min(incarnation, view::kMostIncarnation - 1)),
       random(seed),
       changed(now) {
-  self_ = &members[name];
+  own = &members[name];
   self() = {name, address, born, Standing::left, 1, now};
   take_over(now, self(), {name, address, born, Standing::alive, 1, {}, 0});
   order.clear();
--- a/src/fleet/wallet/file_journal.cpp
+++ b/src/fleet/wallet/file_journal.cpp
@@ -12,6 +12,7 @@
 #include <cstring>
 
 #include "config/json.h"
+#include "fleet/storage_error.h"
 
 namespace marblehub::fleet {
 namespace {
@@ -65,8 +66,8 @@
   return true;
 }
 
-std::runtime_error trouble(const std::string& path, const std::string& what) {
-  return std::runtime_error(fmt::format("{}: {}", path, what));
+StorageError trouble(const std::string& path, const std::string& what) {
+  return StorageError(fmt::format("{}: {}", path, what));
 }
 
 }  // namespace
--- a/src/fleet/wallet/file_journal.h
+++ b/src/fleet/wallet/file_journal.h
@@ -17,7 +17,7 @@
 
 class FileJournal : public Journal {
  public:
-  // Throws std::runtime_error where the file cannot be opened, is another process's, or has a flipped line.
+  // Throws StorageError where the file cannot be opened, is another process's, or has a flipped line.
   explicit FileJournal(std::string path, std::size_t bound = 1 << 20);  // octets
   ~FileJournal() override;                                              // what was appended is written
   FileJournal(const FileJournal&) = delete;
--- a/src/fleet/wire/keys.cpp
+++ b/src/fleet/wire/keys.cpp
@@ -59,7 +59,8 @@
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     if (line.empty()) continue;
     auto refuse = [&](const std::string& what) {  // never with the line itself: it is a secret
-      throw config::DecodeError(path + ":" + std::to_string(number) + ": key: " + what);
+      throw config::DecodeError(
+          std::string(path).append(":").append(std::to_string(number)).append(": key: ") + what);
     };
     if (keys.size() == kMostKeys) refuse("expected at most two keys, the new and the old");
     std::string key;
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -6,7 +6,6 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <stdexcept>
 #include <utility>
 
 #include "log/log.h"
@@ -52,7 +51,7 @@
   setsockopt(fd_.get(), SOL_SOCKET, SO_RCVBUF, &kClientBuffer, sizeof kClientBuffer);
   if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd_.get(), 1024) != 0)
-    throw std::runtime_error("cannot listen on the address given");
+    throw ListenError(errno);
   io_.priority(-1);  // a crowd that connects must not hold up what is being served
   io_.start(fd_.get(), EV_READ);
 }
--- a/src/net/client_side.h
+++ b/src/net/client_side.h
@@ -4,6 +4,7 @@
 #include <list>
 #include <memory>
 #include <string>
+#include <system_error>
 #include <unordered_set>
 #include <vector>
 
@@ -17,8 +18,16 @@
 
 class ClientLink;
 
+/// The address that clients connect to cannot be bound or listened on; code() says why.
+class ListenError : public std::system_error {
+ public:
+  explicit ListenError(int error)
+      : std::system_error(error, std::generic_category(), "cannot listen on the address given") {}
+};
+
 class Listener {
  public:
+  /// Throws ListenError.
   Listener(Loop& loop, core::Dispatcher& dispatcher, core::WorkerSide& workers, const sockaddr_in& address,
            DescriptorBudget& descriptors, metrics::Registry& metrics);
   ~Listener();
--- a/src/policy/requests/admission.h
+++ b/src/policy/requests/admission.h
@@ -11,8 +11,8 @@
 /// Whether the backend is asked for many times what it can do. One that hangs may still answer health checks,
 /// and so is not marked down.
 inline bool overwhelmed(const Backend& backend) {
-  constexpr double kOverwhelmedLoad = 4;  // far over what clients ask for
-  return backend.utilization > kOverwhelmedLoad;
+  constexpr double overwhelming_load = 4;  // far over what clients ask for
+  return backend.utilization > overwhelming_load;
 }
 
 /// Whether the backend serves, as far as is known.
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -4,25 +4,25 @@
 
 namespace marblehub::policy {
 
-std::string settings_error(const Settings& s) {
+std::optional<SettingsError> validate(const Settings& s) {
   auto sound = [](double value) { return std::isfinite(value) && value >= 0; };
-  if (s.balancers < 1) return "balancers";
-  if (s.max_attempts < 1) return "limits.max_attempts";
-  if (s.max_retry_after_us < 0) return "limits.max_retry_after_us";
-  if (s.connect_timeout_us < 0) return "limits.connect_timeout_us";
-  if (s.stop_sending_within_us < 0) return "invariants.stop_sending_within_us";
-  if (!(s.cold_share > 0 && s.cold_share <= 1)) return "invariants.cold_share";
-  if (s.warm_within_us < 0) return "invariants.warm_within_us";
-  if (!sound(s.price_probe)) return "prices.probe";
-  if (!sound(s.price_cross_zone)) return "prices.cross_zone";
-  if (s.classes.empty()) return "request_classes";
+  if (s.balancers < 1) return SettingsError{"balancers"};
+  if (s.max_attempts < 1) return SettingsError{"limits.max_attempts"};
+  if (s.max_retry_after_us < 0) return SettingsError{"limits.max_retry_after_us"};
+  if (s.connect_timeout_us < 0) return SettingsError{"limits.connect_timeout_us"};
+  if (s.stop_sending_within_us < 0) return SettingsError{"invariants.stop_sending_within_us"};
+  if (!(s.cold_share > 0 && s.cold_share <= 1)) return SettingsError{"invariants.cold_share"};
+  if (s.warm_within_us < 0) return SettingsError{"invariants.warm_within_us"};
+  if (!sound(s.price_probe)) return SettingsError{"prices.probe"};
+  if (!sound(s.price_cross_zone)) return SettingsError{"prices.cross_zone"};
+  if (s.classes.empty()) return SettingsError{"request_classes"};
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     std::string path = "request_classes." + std::to_string(i) + ".";
-    if (s.classes[i].slo_us < 0) return path + "slo_us";
-    if (s.classes[i].window_us < 0) return path + "window_us";
-    if (s.classes[i].message_aim_us < 0) return "specifics.message_aim_us";
+    if (s.classes[i].slo_us < 0) return SettingsError{path + "slo_us"};
+    if (s.classes[i].window_us < 0) return SettingsError{path + "window_us"};
+    if (s.classes[i].message_aim_us < 0) return SettingsError{"specifics.message_aim_us"};
   }
-  return "";
+  return std::nullopt;
 }
 
 }  // namespace marblehub::policy
--- a/src/quic/connection_id.cpp
+++ b/src/quic/connection_id.cpp
@@ -73,9 +73,9 @@
 
 IdCodec::IdCodec(std::vector<IdConfig> configs) : configs_(std::move(configs)) {
   for (const IdConfig& config : configs_) {
-    if (std::string error = config_error(config); !error.empty()) throw std::runtime_error(error);
+    if (std::string error = config_error(config); !error.empty()) throw ConfigError(error);
     Sealed& place = by_rotation_[config.rotation];
-    if (place.config) throw std::runtime_error("rotation: two configs have the same");
+    if (place.config) throw ConfigError("rotation: two configs have the same");
     place.config = &config;
     if (!config.key.empty()) place.aes.emplace(config.key);
   }
--- a/src/quic/connection_id.h
+++ b/src/quic/connection_id.h
@@ -8,6 +8,7 @@
 #pragma once
 
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -19,6 +20,12 @@
 
 constexpr unsigned kUnroutable = 7;  // the rotation value that no config may have
 
+/// A configuration of the second front that cannot be used: what() names the key and what was expected.
+class ConfigError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
 struct IdConfig {
   unsigned rotation = 0;
   std::size_t server_id_length = 4, nonce_length = 6;
@@ -34,7 +41,7 @@
 
 class IdCodec {
  public:
-  // Throws std::runtime_error where a config cannot be used or two have the same rotation.
+  // Throws ConfigError where a config cannot be used or two have the same rotation.
   explicit IdCodec(std::vector<IdConfig> configs);
 
   struct Decoded {
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -74,9 +74,9 @@
                                     "Id configurations that a reload took out and that still route")),
       closed_gauge_(metrics.gauge("marblehub_quic_workers_closed", "Workers whose port was found closed")),
       sockets_gauge_(metrics.gauge("marblehub_quic_sockets", "Descriptors held for sockets to workers")) {
-  if (!listen_.known()) throw std::runtime_error("quic: listen: expected an address and port");
-  if (request_class_ < 0) throw std::runtime_error("quic: class: expected one of the settings' classes");
-  if (!fd_) throw std::runtime_error("quic: cannot listen on " + settings_.listen);
+  if (!listen_.known()) throw ConfigError("quic: listen: expected an address and port");
+  if (request_class_ < 0) throw ConfigError("quic: class: expected one of the settings' classes");
+  if (!fd_) throw ConfigError("quic: cannot listen on " + settings_.listen);
   io_.start(fd_.get(), EV_READ);
   sweep_.start(kSweep);
 }
@@ -91,11 +91,11 @@
 void Front::close() { closed_ = true; }
 
 std::vector<std::string> Front::reload(QuicSettings next) {
-  if (std::string conflict = ids_.conflict(next.ids); !conflict.empty()) throw std::runtime_error(conflict);
+  if (std::string conflict = ids_.conflict(next.ids); !conflict.empty()) throw ConfigError(conflict);
   std::vector<std::string> names;
   for (const auto& [name, worker] : dispatcher_.workers())
     if (worker.health != marblehub::policy::Health::deleted) names.push_back(name);
-  if (auto found = server_id_conflicts(next, names); !found.empty()) throw std::runtime_error(found[0]);
+  if (auto found = server_id_conflicts(next, names); !found.empty()) throw ConfigError(found[0]);
   std::vector<std::string> later = needs_restart(settings_, next);
   // From here on nothing fails.
   next.listen = settings_.listen;
--- a/src/quic/front.h
+++ b/src/quic/front.h
@@ -34,7 +34,7 @@
         net::DescriptorBudget& descriptors, metrics::Registry& metrics);
   ~Front();
   void close();  // new clients are taken no more; what stands goes on
-  // Another file, whole or not at all: throws std::runtime_error with the key that stands against it. No
+  // Another file, whole or not at all: throws ConfigError with the key that stands against it. No
   // connection is cut. Returns the keys that take a restart to follow.
   std::vector<std::string> reload(QuicSettings settings);
 
--- a/src/quic/settings.cpp
+++ b/src/quic/settings.cpp
@@ -161,10 +161,10 @@
 
 std::vector<std::string> needs_restart(const QuicSettings& in_force, const QuicSettings& reloaded) {
   std::vector<std::string> keys;
-  if (in_force.enabled != reloaded.enabled) keys.push_back("enabled");
-  if (in_force.listen != reloaded.listen) keys.push_back("listen");
-  if (in_force.request_class != reloaded.request_class) keys.push_back("class");
-  if (in_force.forwarding != reloaded.forwarding) keys.push_back("forwarding");
+  if (in_force.enabled != reloaded.enabled) keys.emplace_back("enabled");
+  if (in_force.listen != reloaded.listen) keys.emplace_back("listen");
+  if (in_force.request_class != reloaded.request_class) keys.emplace_back("class");
+  if (in_force.forwarding != reloaded.forwarding) keys.emplace_back("forwarding");
   return keys;
 }
 
--- a/tests/policy/discovery_test.cpp
+++ b/tests/policy/discovery_test.cpp
@@ -98,12 +98,14 @@
 
 TEST(Settings, AnImpossibleFigureIsNamed) {
   Settings s = plain_settings();
-  EXPECT_EQ(settings_error(s), "");
+  EXPECT_FALSE(validate(s).has_value());
   s.cold_share = std::nan("");
-  EXPECT_EQ(settings_error(s), "invariants.cold_share");
+  ASSERT_TRUE(validate(s).has_value());
+  EXPECT_EQ(validate(s)->key, "invariants.cold_share");
   s = plain_settings();
   s.balancers = 0;
-  EXPECT_EQ(settings_error(s), "balancers");
+  ASSERT_TRUE(validate(s).has_value());
+  EXPECT_EQ(validate(s)->key, "balancers");
 }
 
 }  // namespace
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -100,7 +100,7 @@
     else
       findings.warnings.push_back(fmt::format("{}: not found; what it would turn on stays off", name));
   } catch (const DecodeError& error) {
-    findings.errors.push_back(error.what());
+    findings.errors.emplace_back(error.what());
   }
 }
 
@@ -114,7 +114,7 @@
 void check_start(const Options& options, const std::string& folder, Findings& findings) {
   Startup startup = startup_from(options);
   if (startup.settings.me >= startup.settings.balancers)
-    findings.errors.push_back("setting settings.me: expected a number below settings.balancers");
+    findings.errors.emplace_back("setting settings.me: expected a number below settings.balancers");
   for (const auto& [name, kind] : {std::pair(startup.quic_file, FileKind::quic),
                                    {startup.remote_write_file, FileKind::remote_write},
                                    {startup.rebalance_file, FileKind::rebalance},
@@ -127,8 +127,8 @@
     }
     Findings inner = check(*text, kind, path.parent_path());
     if (kind == FileKind::quic && inner.errors.empty()) check_server_ids(startup, *text, path, inner);
-    for (auto& line : inner.errors) findings.errors.push_back(name + ": " + line);
-    for (auto& line : inner.warnings) findings.warnings.push_back(name + ": " + line);
+    for (auto& line : inner.errors) findings.errors.push_back(fmt::format("{}: {}", name, line));
+    for (auto& line : inner.warnings) findings.warnings.push_back(fmt::format("{}: {}", name, line));
   }
   check_fleet(startup, findings);
 }
