--- a/tests/fleet/record/learning_test.cpp
+++ b/tests/fleet/record/learning_test.cpp
@@ -2,21 +2,10 @@
 #include <catch2/catch.hpp>
 
 #include "cluster.h"
+#include "deposits.h"
 
 using namespace marblehub::fleet;
 
-namespace {
-
-Body deposit(int id, std::int64_t amount = 1) {
-  Deposit body;
-  body.wallet = "w";
-  body.deposit = std::to_string(id);
-  body.amount = amount;
-  return body;
-}
-
-}  // namespace
-
 TEST_CASE("who is far behind gets a snapshot, a large one in parts") {
   Cluster cluster(8, 3, 3);
   cluster.run(2 * kSecond);
--- a/tests/fleet/record/record_test.cpp
+++ b/tests/fleet/record/record_test.cpp
@@ -3,21 +3,10 @@
 #include <cstdlib>
 
 #include "cluster.h"
+#include "deposits.h"
 
 using namespace marblehub::fleet;
 
-namespace {
-
-Body deposit(int id, std::int64_t amount = 1) {
-  Deposit body;
-  body.wallet = "w";
-  body.deposit = std::to_string(id);
-  body.amount = amount;
-  return body;
-}
-
-}  // namespace
-
 TEST_CASE("three voters choose one leader and agree on what any of them proposes") {
   Cluster cluster(1, 3, 2);
   cluster.run(2 * kSecond);
