--- a/conformance/suites/amplification.cpp
+++ b/conformance/suites/amplification.cpp
@@ -1,9 +1,4 @@
 // Three times what came in, and workers that answer after their call was given up.
-#include <algorithm>
-#include <set>
-
-#include "quic/stateless_reset.h"
-#include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
 
--- a/conformance/suites/connection_ids.cpp
+++ b/conformance/suites/connection_ids.cpp
@@ -1,9 +1,4 @@
 // Connection ids of all forms.
-#include <algorithm>
-#include <set>
-
-#include "quic/stateless_reset.h"
-#include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
 
--- a/conformance/suites/initials.cpp
+++ b/conformance/suites/initials.cpp
@@ -1,8 +1,6 @@
 // What begins a connection, and coalesced packets.
 #include <algorithm>
-#include <set>
 
-#include "quic/stateless_reset.h"
 #include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
--- a/conformance/suites/migration.cpp
+++ b/conformance/suites/migration.cpp
@@ -1,9 +1,6 @@
 // Addresses that change, keys, ECN, IPv6.
 #include <algorithm>
-#include <set>
 
-#include "quic/stateless_reset.h"
-#include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
 
--- a/conformance/suites/retry.cpp
+++ b/conformance/suites/retry.cpp
@@ -1,8 +1,5 @@
 // Address validation by the router and by workers.
-#include <algorithm>
-#include <set>
 
-#include "quic/stateless_reset.h"
 #include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
--- a/conformance/suites/versions.cpp
+++ b/conformance/suites/versions.cpp
@@ -2,8 +2,6 @@
 #include <algorithm>
 #include <set>
 
-#include "quic/stateless_reset.h"
-#include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
 
--- a/conformance/suites/workers.cpp
+++ b/conformance/suites/workers.cpp
@@ -1,9 +1,6 @@
 // Workers that drain, refuse, die and come back.
-#include <algorithm>
-#include <set>
 
 #include "quic/stateless_reset.h"
-#include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
 
--- a/conformance/suites/zero_rtt.cpp
+++ b/conformance/suites/zero_rtt.cpp
@@ -1,9 +1,6 @@
 // Early data in every order.
 #include <algorithm>
-#include <set>
 
-#include "quic/stateless_reset.h"
-#include "quic/validation.h"
 #include "suites/suites.h"
 #include "suites/support.h"
 
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -70,6 +70,9 @@
   double price_cross_zone = 0;  // points for every attempt crossing zones
 };
 
+/// The shortest latency objective of the messages on any connection; 50 ms where no class states one.
+Time shortest_message_objective(const Settings& settings);
+
 /// A missing or impossible figure of the settings, by the key that the simulator's and the platform's pages
 /// give it.
 struct SettingsError {
--- a/src/core/message_monitor.cpp
+++ b/src/core/message_monitor.cpp
@@ -13,22 +13,12 @@
 // answer may have come 2 s before the first message that has none; and the look at it is up to an interval
 // late.
 constexpr Time kSilenceBound = 4500 * kMillisecond;
-constexpr Time kObjectiveWhereNoneIsStated = 50 * kMillisecond;
 constexpr Time kSlowPart = 3;  // a delay over one part in so many of the objective is slow
 
-Time shortest_objective(const policy::Settings& settings) {
-  Time shortest = 0;
-  for (const policy::RequestClass& request_class : settings.classes) {
-    Time objective = request_class.message_aim_us;
-    if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
-  }
-  return shortest > 0 ? shortest : kObjectiveWhereNoneIsStated;
-}
-
 }  // namespace
 
 MessageMonitor::MessageMonitor(const policy::Settings& settings, Time now)
-    : objective_(shortest_objective(settings)), looked_at_(now) {}
+    : objective_(policy::shortest_message_objective(settings)), looked_at_(now) {}
 
 MessageMonitor::Schedule MessageMonitor::schedule(Time now) {
   Time since = now - std::exchange(looked_at_, now);
--- a/src/policy/health/delay_signals.cpp
+++ b/src/policy/health/delay_signals.cpp
@@ -5,26 +5,18 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kObjectiveWhereNoneIsStatedMs = 50;
 // A message waits 0.4 of the objective at a load of 0.85 and all of it at 0.93.
 constexpr double kWaitShare = 0.07;
 constexpr double kLeastSpare = 0.05;
 // One whose report says that messages come late is checked again so soon.
 constexpr Time kLateRecheck = 500 * kMillisecond;
 
-double shortest_objective_in(const Settings& settings) {
-  Time shortest = 0;
-  for (const RequestClass& request_class : settings.classes) {
-    Time objective = request_class.message_aim_us;
-    if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
-  }
-  return shortest > 0 ? static_cast<double>(shortest) / 1000 : kObjectiveWhereNoneIsStatedMs;
-}
-
 }  // namespace
 
 DelaySignals::DelaySignals(Context& context)
-    : context_(context), shortest_objective_ms_(shortest_objective_in(context.settings)) {}
+    : context_(context),
+      shortest_objective_ms_(static_cast<double>(shortest_message_objective(context.settings)) /
+                             kMillisecond) {}
 
 void DelaySignals::take_report(Backend& backend, const LoadReport& report) const {
   if (report.load < 0) return;
--- a/src/policy/load_levels.h
+++ b/src/policy/load_levels.h
@@ -10,6 +10,9 @@
 /// Part of the latency objective from which a backend counts as filling up, and its connections may migrate.
 inline constexpr double kMigrationThreshold = 0.8;
 
+/// Backends of usual size that one group's connections keep to, at most.
+inline constexpr double kMostGroupBackends = 3;
+
 /// Weight of a backend that an earlier attempt of the same request was sent to: chosen where nothing else is
 /// left.
 inline constexpr double kTriedWeight = 1e-6;
--- a/src/policy/placement/group_affinity.cpp
+++ b/src/policy/placement/group_affinity.cpp
@@ -46,7 +46,7 @@
     if (!backends_[candidates[k]].down) ranked.emplace_back(rank(request, candidates[k], usual_scale), k);
   std::sort(ranked.begin(), ranked.end());
   double share = kWidth * groups_.count(request.group) / (kWidth + mean_load);
-  double needed = usual_scale * std::clamp(share, 1.0, kMostBackends);
+  double needed = usual_scale * std::clamp(share, 1.0, kMostGroupBackends);
   for (const auto& [unused_rank, k] : ranked) {
     if (needed <= 0) break;
     const Backend& backend = backends_[candidates[k]];
--- a/src/policy/placement/group_affinity.h
+++ b/src/policy/placement/group_affinity.h
@@ -15,8 +15,6 @@
 
 class GroupAffinity {
  public:
-  static constexpr double kMostBackends = 3;  // of usual size, for one group
-
   GroupAffinity(const Context& context, const BackendTable& backends, const DelaySignals& delays,
                 const SlowStartRamp& ramp, const GroupConnections& groups)
       : context_(context), backends_(backends), delays_(delays), ramp_(ramp), groups_(groups) {}
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -111,11 +111,12 @@
   bool attempts_left = request.attempts < parts_.context.settings.max_attempts;
   if (left <= 0 || !attempts_left || !parts_.rules.repeatable(request)) return finish(id, request);
   Time objective = parts_.rules.class_of(request).slo_us;
-  if (limiter_of(request).at_limit(parts_.context.now, objective)) return;  // held: the sweep tries again
+  SetupLimiter& limiter = limiter_of(request);
+  if (limiter.at_limit(parts_.context.now, objective)) return;  // held: the sweep tries again
   int index = parts_.selector.pick(request);
   if (index == kNoBackend) return;
   if (wait_for_report(parts_.backends[index], request)) return;
-  begin_attempt(id, request, index, attempt_timeout(request, left));
+  begin_attempt(id, request, index, attempt_timeout(request, left), limiter);
 }
 
 // Until the next report; of many balancers few send to the same backend meanwhile.
@@ -125,7 +126,8 @@
   backend.utilization += senders * request.load * parts_.admission.load_of_one() / backend.scale;
 }
 
-void RequestHandler::begin_attempt(std::uint64_t id, Request& request, int index, Time timeout) {
+void RequestHandler::begin_attempt(std::uint64_t id, Request& request, int index, Time timeout,
+                                   SetupLimiter& limiter) {
   const Time now = parts_.context.now;
   const bool stream = parts_.rules.class_of(request).stream;
   Backend& backend = parts_.backends[index];
@@ -135,7 +137,7 @@
   request.attempts += 1;
   request.backend = index;
   request.in_flight = true;
-  if (stream) limiter_of(request).begin();
+  if (stream) limiter.begin();
   request.sent_at = now;
   request.tried.push_back(index);
   parts_.context.emit(Submit{id, backend.address, now + timeout});
--- a/src/policy/requests/request_handler.h
+++ b/src/policy/requests/request_handler.h
@@ -54,7 +54,7 @@
   void place(std::uint64_t id, Request& request);
   bool wait_for_report(Backend& backend, Request& request);
   Time attempt_timeout(const Request& request, Time left) const;
-  void begin_attempt(std::uint64_t id, Request& request, int index, Time timeout);
+  void begin_attempt(std::uint64_t id, Request& request, int index, Time timeout, SetupLimiter& limiter);
   void anticipate_load(Backend& backend, const Request& request) const;
 
   void end_setup(const Request& request);
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -4,6 +4,16 @@
 
 namespace marblehub::policy {
 
+Time shortest_message_objective(const Settings& settings) {
+  constexpr Time where_none_is_stated = 50'000;
+  Time shortest = 0;
+  for (const RequestClass& request_class : settings.classes) {
+    Time objective = request_class.message_aim_us;
+    if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
+  }
+  return shortest > 0 ? shortest : where_none_is_stated;
+}
+
 std::optional<SettingsError> validate(const Settings& s) {
   auto sound = [](double value) { return std::isfinite(value) && value >= 0; };
   if (s.balancers < 1) return SettingsError{"balancers"};
--- a/src/policy/slow_start/ramp.cpp
+++ b/src/policy/slow_start/ramp.cpp
@@ -4,7 +4,6 @@
 #include <cmath>
 
 #include "policy/load_levels.h"
-#include "policy/placement/group_affinity.h"
 
 namespace marblehub::policy {
 namespace {
@@ -35,7 +34,7 @@
   double burst = std::max(1.0, requests_.lately.at(context_.now, kBurstMemory) / usual);
   double part =
       kOpenPart * scales_with_headroom / scales / std::min(kLargestBurst, std::pow(burst, kBurstPower));
-  if (context_.settings.groups) part /= GroupAffinity::kMostBackends;  // all of a group come
+  if (context_.settings.groups) part /= kMostGroupBackends;  // all of a group come
   part *= count / scales;
   return part;
 }
