--- a/bench/quic_memory.cpp
+++ b/bench/quic_memory.cpp
@@ -44,7 +44,7 @@
         if (!header || !initial) continue;
         std::array<char, kLongestProxyHeader> out;
         std::size_t size = write_proxy_header(out, {false, header->destination, header->source, {}, {}});
-        std::string id = codec.encode(2, default_server_id("g-1", 4), random_octets(6));
+        std::string id = codec.encode(2, default_server_id("g-1", 4), random_bytes(6));
         std::string dst(initial->destination);
         worker.send(std::string(out.data(), size) +
                         seal_initial(initial_keys(dst, true), initial->source, id, 0, std::string(40, '\1')),
--- a/conformance/peers/client.cpp
+++ b/conformance/peers/client.cpp
@@ -37,9 +37,9 @@
   params.active_connection_id_limit = 7;
   params.max_idle_timeout = 30 * NGTCP2_SECONDS;
 
-  std::string first = quic::random_octets(12);
+  std::string first = quic::random_bytes(12);
   first[0] = static_cast<char>(first[0] | quic::kUnroutable << 5);
-  ngtcp2_cid destination = cid_of(first), source = cid_of(quic::random_octets(options_.id_length));
+  ngtcp2_cid destination = cid_of(first), source = cid_of(quic::random_bytes(options_.id_length));
   SocketName here(believed_), there(router_);
   ngtcp2_path path{here, there, nullptr};
   ngtcp2_callbacks all = callbacks(false);
@@ -69,8 +69,8 @@
 }
 
 void Client::new_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t size) {
-  id = cid_of(quic::random_octets(size));
-  std::memcpy(token, quic::random_octets(NGTCP2_STATELESS_RESET_TOKENLEN).data(),
+  id = cid_of(quic::random_bytes(size));
+  std::memcpy(token, quic::random_bytes(NGTCP2_STATELESS_RESET_TOKENLEN).data(),
               NGTCP2_STATELESS_RESET_TOKENLEN);
 }
 
--- a/conformance/peers/connection.cpp
+++ b/conformance/peers/connection.cpp
@@ -36,7 +36,7 @@
   c.get_path_challenge_data = ngtcp2_crypto_get_path_challenge_data_cb;
   c.version_negotiation = ngtcp2_crypto_version_negotiation_cb;
   c.rand = [](std::uint8_t* out, std::size_t size, const ngtcp2_rand_ctx*) {
-    std::memcpy(out, quic::random_octets(size).data(), size);
+    std::memcpy(out, quic::random_bytes(size).data(), size);
   };
   c.get_new_connection_id = [](ngtcp2_conn*, ngtcp2_cid* id, std::uint8_t* token, std::size_t size,
                                void* self) {
--- a/conformance/peers/worker.cpp
+++ b/conformance/peers/worker.cpp
@@ -30,7 +30,7 @@
 Worker::~Worker() = default;
 
 std::string Worker::make_id() {
-  return codec_.encode(options.ids.rotation, server_id, quic::random_octets(options.ids.nonce_length));
+  return codec_.encode(options.ids.rotation, server_id, quic::random_bytes(options.ids.nonce_length));
 }
 
 std::size_t Worker::connections() const {
@@ -52,7 +52,7 @@
 void Worker::send(std::string_view bytes, const Endpoint& client) {
   if (!udp_) return;
   if (!options.proxy) return udp_->send(bytes, client);
-  auto router = routers_.find(std::string(client.octets()));
+  auto router = routers_.find(std::string(client.bytes()));
   if (router == routers_.end()) return;
   std::array<char, quic::kLongestProxyHeader> header;
   std::size_t size = quic::write_proxy_header(header, {false, listen_, client, {}, {}});
@@ -149,7 +149,7 @@
       if (!header || header->local) continue;
       client = header->source;
       listen_ = header->destination;
-      routers_[std::string(client.octets())] = came->from;
+      routers_[std::string(client.bytes())] = came->from;
       if (!header->original_id.empty())
         told_[std::string(header->retry_id)] = std::string(header->original_id);
     }
--- a/conformance/suites/support.h
+++ b/conformance/suites/support.h
@@ -63,7 +63,7 @@
 }
 
 inline std::string fresh_id(std::size_t size = 10) {
-  std::string id = random_octets(size);
+  std::string id = random_bytes(size);
   id[0] = static_cast<char>(id[0] | kUnroutable << 5);
   return id;
 }
--- a/src/quic/connection_id.cpp
+++ b/src/quic/connection_id.cpp
@@ -132,7 +132,7 @@
     halves.write(rest.data());
   }
   unsigned low = with.config->length_in_id ? static_cast<unsigned>(with.config->length() - 1)
-                                           : static_cast<unsigned char>(random_octets(1)[0]) & 0x1fu;
+                                           : static_cast<unsigned char>(random_bytes(1)[0]) & 0x1fu;
   return std::string(1, static_cast<char>(rotation << 5 | low)) + rest;
 }
 
--- a/src/quic/crypto.cpp
+++ b/src/quic/crypto.cpp
@@ -46,7 +46,7 @@
 
 std::uint64_t hash_secret() {
   static const std::uint64_t secret = [] {
-    std::string octets = random_octets(8);
+    std::string octets = random_bytes(8);
     std::uint64_t value;
     std::memcpy(&value, octets.data(), 8);
     return value;
@@ -119,7 +119,7 @@
   return hkdf(EVP_PKEY_HKDEF_MODE_EXPAND_ONLY, secret, "", info, length);
 }
 
-std::string random_octets(std::size_t count) {
+std::string random_bytes(std::size_t count) {
   std::string out(count, '\0');
   require(RAND_bytes(raw(out), static_cast<int>(count)) == 1);
   return out;
--- a/src/quic/endpoint.cpp
+++ b/src/quic/endpoint.cpp
@@ -24,8 +24,8 @@
   if (address.size() != 4 && address.size() != 16) return std::nullopt;
   Endpoint e;
   std::uint16_t network = htons(port);
-  std::memcpy(e.octets_, address.data(), address.size());
-  std::memcpy(e.octets_ + address.size(), &network, 2);
+  std::memcpy(e.bytes_, address.data(), address.size());
+  std::memcpy(e.bytes_ + address.size(), &network, 2);
   e.size_ = static_cast<unsigned char>(address.size() + 2);
   return e;
 }
@@ -64,8 +64,8 @@
 
 std::uint16_t Endpoint::port() const {
   if (size_ < 2) return 0;
-  return static_cast<std::uint16_t>(static_cast<unsigned char>(octets_[size_ - 2]) << 8 |
-                                    static_cast<unsigned char>(octets_[size_ - 1]));
+  return static_cast<std::uint16_t>(static_cast<unsigned char>(bytes_[size_ - 2]) << 8 |
+                                    static_cast<unsigned char>(bytes_[size_ - 1]));
 }
 
 std::string Endpoint::text() const {
--- a/src/quic/endpoint.h
+++ b/src/quic/endpoint.h
@@ -23,16 +23,16 @@
   int family() const { return size_ == 0 ? AF_UNSPEC : size_ == 6 ? AF_INET : AF_INET6; }
   // As the system wants it; returns its length. IPv4 takes the front of what is there.
   socklen_t write(sockaddr_in6& out) const;
-  std::string_view address() const { return {octets_, size_ > 0 ? size_ - 2u : 0u}; }  // 4 or 16 octets
+  std::string_view address() const { return {bytes_, size_ > 0 ? size_ - 2u : 0u}; }  // 4 or 16 octets
   std::uint16_t port() const;
   std::string text() const;
   // Address and port as octets, equal for equal endpoints.
-  std::string_view octets() const { return {octets_, size_}; }
+  std::string_view bytes() const { return {bytes_, size_}; }
 
-  friend bool operator==(const Endpoint& a, const Endpoint& b) { return a.octets() == b.octets(); }
+  friend bool operator==(const Endpoint& a, const Endpoint& b) { return a.bytes() == b.bytes(); }
 
  private:
-  char octets_[18]{};  // in network byte order; small, as every connection has one or two
+  char bytes_[18]{};  // in network byte order; small, as every connection has one or two
   unsigned char size_ = 0;
 };
 
--- a/src/quic/front.h
+++ b/src/quic/front.h
@@ -43,13 +43,13 @@
   friend class Upstream;
   friend class Attempt;
 
-  using FlowKey = Octets<41>;  // both ids of the client's Initials, the length of the first before them
-  using PathKey = Octets<26>;  // the client's address, and the worker's index
+  using FlowKey = InlineBytes<41>;  // both ids of the client's Initials, the length of the first before them
+  using PathKey = InlineBytes<26>;  // the client's address, and the worker's index
   static FlowKey flow_key(std::string_view destination, std::string_view source);
   static FlowKey tuple_key(const Endpoint& client);
   static PathKey path_key(const Endpoint& client, const WorkerTable::Worker& worker);
   template <class Key, class Value>
-  using Table = std::unordered_map<Key, Value, OctetsHash, OctetsEqual>;
+  using Table = std::unordered_map<Key, Value, BytesHash, BytesEqual>;
 
   // ---- front.cpp
   void receive();
@@ -137,7 +137,7 @@
   Path *oldest_ = nullptr, *newest_ = nullptr;
   std::unordered_map<WorkerTable::Worker*, std::unique_ptr<Upstream>> shared_;  // proxy-v2
   // Calls that are out at a worker that has not replied yet, by client and worker: several may be alike.
-  std::unordered_multimap<PathKey, Flow*, OctetsHash, OctetsEqual> trying_;
+  std::unordered_multimap<PathKey, Flow*, BytesHash, BytesEqual> trying_;
   struct Early {
     std::vector<std::string> datagrams;
     Time since;
--- a/src/quic/initial.cpp
+++ b/src/quic/initial.cpp
@@ -88,7 +88,7 @@
   put_varint(frames, 0);  // no frame of the client's is to blame
   put_varint(frames, reason.size());
   frames += reason;
-  std::string source = random_octets(8);
+  std::string source = random_bytes(8);
   source[0] = static_cast<char>(source[0] | kUnroutable << 5);
   return seal_initial(initial_keys(client.destination, true, client.version), client.source, source, 0,
                       frames, client.version);
--- a/src/quic/octets.h
+++ b/src/quic/octets.h
@@ -16,49 +16,49 @@
 namespace marblehub::quic {
 
 template <std::size_t N>
-class Octets {
+class InlineBytes {
  public:
-  Octets() = default;
+  InlineBytes() = default;
   // Throws std::length_error over N octets: callers have checked lengths that come from outside.
-  Octets(std::string_view from) : size_(static_cast<std::uint8_t>(from.size())) {
+  InlineBytes(std::string_view from) : size_(static_cast<std::uint8_t>(from.size())) {
     if (from.size() > N) throw std::length_error("octets");
-    if (!from.empty()) std::memcpy(octets_.data(), from.data(), from.size());
+    if (!from.empty()) std::memcpy(bytes_.data(), from.data(), from.size());
   }
-  Octets(const std::string& from) : Octets(std::string_view(from)) {}
-  Octets(const char* from) : Octets(std::string_view(from)) {}
+  InlineBytes(const std::string& from) : InlineBytes(std::string_view(from)) {}
+  InlineBytes(const char* from) : InlineBytes(std::string_view(from)) {}
 
-  operator std::string_view() const { return {octets_.data(), size_}; }
-  std::string_view view() const { return {octets_.data(), size_}; }
+  operator std::string_view() const { return {bytes_.data(), size_}; }
+  std::string_view view() const { return {bytes_.data(), size_}; }
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
 
-  friend bool operator==(const Octets& a, const Octets& b) { return a.view() == b.view(); }
-  friend bool operator==(const Octets& a, std::string_view b) { return a.view() == b; }
-  friend bool operator==(const Octets& a, const char* b) { return a.view() == b; }
-  friend bool operator==(const Octets& a, const std::string& b) { return a.view() == b; }
-  friend bool operator<(const Octets& a, const Octets& b) { return a.view() < b.view(); }
+  friend bool operator==(const InlineBytes& a, const InlineBytes& b) { return a.view() == b.view(); }
+  friend bool operator==(const InlineBytes& a, std::string_view b) { return a.view() == b; }
+  friend bool operator==(const InlineBytes& a, const char* b) { return a.view() == b; }
+  friend bool operator==(const InlineBytes& a, const std::string& b) { return a.view() == b; }
+  friend bool operator<(const InlineBytes& a, const InlineBytes& b) { return a.view() < b.view(); }
 
  private:
-  std::array<char, N> octets_{};
+  std::array<char, N> bytes_{};
   std::uint8_t size_ = 0;
 };
 
-using ConnectionId = Octets<20>;
-using ServerId = Octets<15>;
+using ConnectionId = InlineBytes<20>;
+using ServerId = InlineBytes<15>;
 
 // Ids and addresses come from strangers, who could otherwise choose them so that they all fall into one
 // bucket: the hash has a secret that is new with each start.
 std::uint64_t hash_secret();
 
-inline std::size_t hash_octets(std::string_view bytes) {
+inline std::size_t hash_bytes(std::string_view bytes) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), hash_secret());
 }
 
-struct OctetsHash {
+struct BytesHash {
   using is_transparent = void;
-  std::size_t operator()(std::string_view bytes) const { return hash_octets(bytes); }
+  std::size_t operator()(std::string_view bytes) const { return hash_bytes(bytes); }
 };
-struct OctetsEqual {
+struct BytesEqual {
   using is_transparent = void;
   bool operator()(std::string_view a, std::string_view b) const { return a == b; }
 };
--- a/src/quic/stateless_reset.cpp
+++ b/src/quic/stateless_reset.cpp
@@ -17,7 +17,7 @@
 std::optional<std::string> StatelessReset::answer(std::string_view connection_id, std::size_t received,
                                                   std::int64_t now) {
   if (!possible() || received <= kShortest || !bucket_.take(now)) return std::nullopt;
-  std::string packet = random_octets(std::min(received - 1, kUsual) - kToken);
+  std::string packet = random_bytes(std::min(received - 1, kUsual) - kToken);
   packet[0] = static_cast<char>((packet[0] & 0x3f) | 0x40);
   return packet + reset_token(key_, connection_id);
 }
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -31,14 +31,14 @@
 Front::FlowKey Front::tuple_key(const Endpoint& client) {
   char octets[41];
   octets[0] = '\xff';
-  std::string_view from = client.octets();
+  std::string_view from = client.bytes();
   std::copy(from.begin(), from.end(), octets + 1);
   return std::string_view(octets, 1 + from.size());
 }
 
 Front::PathKey Front::path_key(const Endpoint& client, const WorkerTable::Worker& worker) {
   char octets[26];
-  std::string_view from = client.octets();
+  std::string_view from = client.bytes();
   std::uint64_t index = worker.index;
   std::memcpy(octets, &index, 8);
   std::copy(from.begin(), from.end(), octets + 8);
--- a/src/quic/validation.cpp
+++ b/src/quic/validation.cpp
@@ -46,7 +46,7 @@
 }  // namespace
 
 TokenSealer::TokenSealer(std::string secret, std::int64_t key_life)
-    : secret_(secret.empty() ? random_octets(32) : std::move(secret)), key_life_(key_life) {}
+    : secret_(secret.empty() ? random_bytes(32) : std::move(secret)), key_life_(key_life) {}
 
 const std::string& TokenSealer::key(std::int64_t epoch) {
   auto slot = static_cast<std::size_t>(epoch & 1);
@@ -64,9 +64,9 @@
   put_time(plain, token.made);
   put_id(plain, token.original);
   put_id(plain, token.retry);
-  std::string nonce = random_octets(kNonce);
+  std::string nonce = random_bytes(kNonce);
   return std::string(kMagic) + static_cast<char>(epoch) + nonce +
-         gcm_seal(key(epoch), nonce, plain, client.octets());
+         gcm_seal(key(epoch), nonce, plain, client.bytes());
 }
 
 bool TokenSealer::ours(std::string_view token) {
@@ -81,7 +81,7 @@
   if (static_cast<char>(epoch) != token[kMagic.size()]) epoch -= 1;
   if (epoch < 0 || static_cast<char>(epoch) != token[kMagic.size()]) return std::nullopt;
   std::string_view rest = token.substr(kMagic.size() + 1);
-  auto plain = gcm_open(key(epoch), rest.substr(0, kNonce), rest.substr(kNonce), client.octets());
+  auto plain = gcm_open(key(epoch), rest.substr(0, kNonce), rest.substr(kNonce), client.bytes());
   if (!plain || plain->size() < 8) return std::nullopt;
   RetryToken opened;
   std::string_view left = *plain;
@@ -147,7 +147,7 @@
 }
 
 std::string AddressValidation::retry(const Header& initial, const Endpoint& from, std::int64_t now) {
-  std::string source = random_octets(kRetryId);
+  std::string source = random_bytes(kRetryId);
   source[0] = static_cast<char>(source[0] | kUnroutable << 5);
   std::string token = sealer_.seal({initial.destination, source, now}, from, now);
   return retry_packet(initial.version, initial.source, source, token, initial.destination);
--- a/src/quic/worker_table.h
+++ b/src/quic/worker_table.h
@@ -76,7 +76,7 @@
     bool operator==(const Key&) const = default;
   };
   struct KeyHash {
-    std::size_t operator()(const Key& key) const { return hash_octets(key.server_id) + key.rotation; }
+    std::size_t operator()(const Key& key) const { return hash_bytes(key.server_id) + key.rotation; }
   };
   std::vector<std::unique_ptr<Worker>> all_;
   std::unordered_map<std::string, Worker*> by_name_;
--- a/tools/marblehub_quic.cpp
+++ b/tools/marblehub_quic.cpp
@@ -54,7 +54,7 @@
   quic::IdConfig config = args.config();
   std::string server_id = octets_of(args.server_id, "--server-id");
   std::string nonce =
-      args.nonce.empty() ? quic::random_octets(config.nonce_length) : octets_of(args.nonce, "--nonce");
+      args.nonce.empty() ? quic::random_bytes(config.nonce_length) : octets_of(args.nonce, "--nonce");
   if (server_id.size() != config.server_id_length || nonce.size() != config.nonce_length)
     throw CLI::ValidationError("--server-id, --nonce", "expected as many octets as the lengths say");
   std::cout << quic::hex(quic::IdCodec({config}).encode(config.rotation, server_id, nonce)) << '\n';
@@ -132,7 +132,7 @@
   try {
     app.parse(argc, argv);
     if (*new_key) {
-      std::cout << quic::hex(quic::random_octets(16)) << '\n';
+      std::cout << quic::hex(quic::random_bytes(16)) << '\n';
       return 0;
     }
     if (*decoding) return decode(args);
