--- a/src/quic/connection_id.h
+++ b/src/quic/connection_id.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "quic/crypto.h"
-#include "quic/octets.h"
+#include "quic/inline_bytes.h"
 
 namespace marblehub::quic {
 
--- a/src/quic/crypto.cpp
+++ b/src/quic/crypto.cpp
@@ -9,7 +9,7 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "quic/octets.h"
+#include "quic/inline_bytes.h"
 
 namespace marblehub::quic {
 namespace {
--- a/src/quic/validation.h
+++ b/src/quic/validation.h
@@ -9,8 +9,8 @@
 #include <unordered_set>
 
 #include "quic/endpoint.h"
+#include "quic/inline_bytes.h"
 #include "quic/limits.h"
-#include "quic/octets.h"
 #include "quic/packet.h"
 
 namespace marblehub::quic {
