--- a/bench/quic_memory.cpp
+++ b/bench/quic_memory.cpp
@@ -39,10 +39,10 @@
     for (int wait = 0; wait < 2000; ++wait) {
       if (auto came = worker.receive()) {
         std::string_view bytes = came->bytes;
-        auto header = take_proxy_header(bytes);
+        auto header = consume_proxy_header(bytes);
         auto initial = parse(bytes);
         if (!header || !initial) continue;
-        std::array<char, kLongestProxyHeader> out;
+        std::array<char, kMaxProxyHeaderSize> out;
         std::size_t size = write_proxy_header(out, {false, header->destination, header->source, {}, {}});
         std::string id = codec.encode(2, default_server_id("g-1", 4), random_bytes(6));
         std::string dst(initial->destination);
--- a/bench/quic_parts_bench.cpp
+++ b/bench/quic_parts_bench.cpp
@@ -35,7 +35,7 @@
 void make_retry(benchmark::State& state) {
   AddressValidation validation({.mode = RetryMode::always});
   Header initial;
-  initial.kind = Kind::initial;
+  initial.type = PacketType::initial;
   initial.version = kVersion1;
   initial.destination = "original";
   initial.source = "client";
@@ -50,7 +50,7 @@
 BENCHMARK(make_reset_token);
 
 void proxy_header_written(benchmark::State& state) {
-  std::array<char, kLongestProxyHeader> out;
+  std::array<char, kMaxProxyHeaderSize> out;
   Endpoint client = *Endpoint::parse("127.0.0.1:4000"), router = *Endpoint::parse("127.0.0.1:7443");
   for (auto _ : state) benchmark::DoNotOptimize(write_proxy_header(out, {false, client, router, {}, {}}));
 }
--- a/conformance/peers/client.cpp
+++ b/conformance/peers/client.cpp
@@ -38,7 +38,7 @@
   params.max_idle_timeout = 30 * NGTCP2_SECONDS;
 
   std::string first = quic::random_bytes(12);
-  first[0] = static_cast<char>(first[0] | quic::kUnroutable << 5);
+  first[0] = static_cast<char>(first[0] | quic::kUnroutableRotation << 5);
   ngtcp2_cid destination = cid_of(first), source = cid_of(quic::random_bytes(options_.id_length));
   SocketName here(believed_), there(router_);
   ngtcp2_path path{here, there, nullptr};
@@ -105,7 +105,7 @@
 void Client::step() {
   for (const std::string& bytes : hop.receive()) {
     auto header = quic::parse(bytes);
-    if (header && header->kind == quic::Kind::retry) retried_ = true;
+    if (header && header->type == quic::PacketType::retry) retried_ = true;
     read(believed_, router_, bytes);
   }
   expire();
--- a/conformance/peers/worker.cpp
+++ b/conformance/peers/worker.cpp
@@ -54,7 +54,7 @@
   if (!options.proxy) return udp_->send(bytes, client);
   auto router = routers_.find(std::string(client.bytes()));
   if (router == routers_.end()) return;
-  std::array<char, quic::kLongestProxyHeader> header;
+  std::array<char, quic::kMaxProxyHeaderSize> header;
   std::size_t size = quic::write_proxy_header(header, {false, listen_, client, {}, {}});
   udp_->send(std::string(header.data(), size) + std::string(bytes), router->second);
 }
@@ -64,7 +64,7 @@
 }
 
 void Worker::leave(const Endpoint& router, const Endpoint& client, const std::string& id) {
-  std::array<char, quic::kLongestProxyHeader> header;
+  std::array<char, quic::kMaxProxyHeaderSize> header;
   std::size_t size = quic::write_proxy_header(header, {false, listen_, client, {}, {}});
   udp_->send(std::string(header.data(), size) + std::string(kControl) + "LEFT " + quic::hex(id), router);
 }
@@ -145,7 +145,7 @@
     std::string_view bytes = came->bytes;
     Endpoint client = came->from;
     if (options.proxy) {
-      auto header = quic::take_proxy_header(bytes);
+      auto header = quic::consume_proxy_header(bytes);
       if (!header || header->local) continue;
       client = header->source;
       listen_ = header->destination;
--- a/conformance/suites/amplification.cpp
+++ b/conformance/suites/amplification.cpp
@@ -29,7 +29,7 @@
   std::size_t got = 0;
   if (came) {
     std::string_view bytes = came->bytes;
-    auto header = take_proxy_header(bytes);
+    auto header = consume_proxy_header(bytes);
     std::string worker_id =
         IdCodec({testbed.options.worker.ids}).encode(2, testbed.worker(0).server_id, "nonce!");
     for (std::uint32_t i = 0; i < 20; ++i)
@@ -73,7 +73,7 @@
                      std::string(100, '\0'));
     std::string_view bytes = came->bytes;
     std::string head;
-    if (auto header = proxy ? take_proxy_header(bytes) : std::nullopt) head = header_back(*header);
+    if (auto header = proxy ? consume_proxy_header(bytes) : std::nullopt) head = header_back(*header);
     sink.send(head + reply, came->from);
     report.check("PROTOCOL, answers", "what it says after that reaches nobody" + way, !probe.answer(300));
   }
--- a/conformance/suites/connection_ids.cpp
+++ b/conformance/suites/connection_ids.cpp
@@ -17,7 +17,7 @@
       for (int s : {0, 1})
         while (auto came = sinks[s].receive()) {
           std::string_view bytes = came->bytes;
-          auto header = take_proxy_header(bytes);
+          auto header = consume_proxy_header(bytes);
           if (!header) continue;
           got[s] += 1;
           sinks[s].send(header_back(*header) + "\x40" + std::string(40, 'y'), came->from);
--- a/conformance/suites/initials.cpp
+++ b/conformance/suites/initials.cpp
@@ -115,7 +115,7 @@
     silent.run(250, [&] {
       while (auto came = sink.receive()) {
         std::string_view bytes = came->bytes;
-        if (take_proxy_header(bytes)) most = std::max(most, bytes.size());
+        if (consume_proxy_header(bytes)) most = std::max(most, bytes.size());
       }
       return most > 0;
     });
--- a/conformance/suites/retry.cpp
+++ b/conformance/suites/retry.cpp
@@ -27,7 +27,7 @@
     probe.send(initial);
     auto answer = probe.answer();
     auto header = answer ? parse(*answer) : std::nullopt;
-    bool is_retry = header && header->kind == Kind::retry;
+    bool is_retry = header && header->type == PacketType::retry;
     report.check("RFC 9000, 17.2.5", "the answer to an Initial without a token is a Retry", is_retry);
     if (!is_retry) continue;
     report.check("RFC 9001, 5.8", "its integrity tag is that of the Initial's id",
@@ -46,7 +46,7 @@
     probe.send(bare_initial(fresh_id(), "source", kVersion1, token));
     auto refused = probe.answers();
     report.check("RFC 9000, 8.1.2", "a token with another id than its Retry's is refused",
-                 refused.size() == 1 && parse(refused[0])->kind == Kind::initial);
+                 refused.size() == 1 && parse(refused[0])->type == PacketType::initial);
     testbed.worker(0).options.mute = true;
     probe.send(second);
     testbed.run(150);
@@ -67,11 +67,11 @@
     auto foreign = other.answer();
     report.check("RFC 9000, 8.1.3",
                  "a token that is not the router's counts as none: it is asked for a Retry",
-                 foreign && parse(*foreign)->kind == Kind::retry);
+                 foreign && parse(*foreign)->type == PacketType::retry);
     other.send(bare_initial(fresh_id(), "source", kVersion2));
     auto two = other.answer();
     report.check("RFC 9369, 3.3.3", "a Retry of version 2 has that version's type and tag",
-                 two && parse(*two)->kind == Kind::retry && parse(*two)->version == kVersion2);
+                 two && parse(*two)->type == PacketType::retry && parse(*two)->version == kVersion2);
   }
   // A Retry of the worker's own.
   TestbedOptions options = usual();
@@ -94,7 +94,7 @@
   for (int i = 0; i < 200; ++i) probe.send(bare_initial(fresh_id(), "source"));
   for (const std::string& packet : probe.answers(600, 1000)) {
     auto header = parse(packet);
-    retries += header && header->kind == Kind::retry;
+    retries += header && header->type == PacketType::retry;
   }
   report.check("RFC 9000, 8.1.2", "above the stated rate of unvalidated Initials a Retry is asked for",
                retries > 100);
--- a/conformance/suites/support.h
+++ b/conformance/suites/support.h
@@ -64,7 +64,7 @@
 
 inline std::string fresh_id(std::size_t size = 10) {
   std::string id = random_bytes(size);
-  id[0] = static_cast<char>(id[0] | kUnroutable << 5);
+  id[0] = static_cast<char>(id[0] | kUnroutableRotation << 5);
   return id;
 }
 
@@ -77,7 +77,7 @@
 
 // What goes before a worker's answer to a datagram that came with this header.
 inline std::string header_back(const ProxyHeader& came) {
-  std::array<char, kLongestProxyHeader> out;
+  std::array<char, kMaxProxyHeaderSize> out;
   std::size_t size = write_proxy_header(out, {false, came.destination, came.source, {}, {}});
   return std::string(out.data(), size);
 }
@@ -108,7 +108,7 @@
   auto frames = packet ? close_frames(*packet, destination, version) : std::nullopt;
   if (!frames || frames->empty() || (*frames)[0] != 0x1c) return false;
   std::string_view rest = std::string_view(*frames).substr(1);
-  return take_varint(rest) == code;
+  return consume_varint(rest) == code;
 }
 
 }  // namespace marblehub::conformance
--- a/conformance/suites/versions.cpp
+++ b/conformance/suites/versions.cpp
@@ -16,7 +16,7 @@
   probe.send(unknown);
   auto answer = probe.answer();
   auto header = answer ? parse(*answer) : std::nullopt;
-  bool negotiates = header && header->kind == Kind::negotiation;
+  bool negotiates = header && header->type == PacketType::version_negotiation;
   report.check("RFC 9000, 6.1", "an unknown version is answered with Version Negotiation", negotiates);
   report.check("RFC 9000, 17.2.1", "its ids are the client's, the other way round",
                negotiates && header->destination == "source" && header->source == id);
@@ -40,8 +40,9 @@
   probe.send(longest);
   answer = probe.answer();
   header = answer ? parse(*answer) : std::nullopt;
-  report.check("RFC 8999, 5.1", "ids of up to 255 octets are handled in unknown versions",
-               header && header->kind == Kind::negotiation && header->source == std::string(255, 'd'));
+  report.check(
+      "RFC 8999, 5.1", "ids of up to 255 octets are handled in unknown versions",
+      header && header->type == PacketType::version_negotiation && header->source == std::string(255, 'd'));
   probe.send(*answer);
   report.check("RFC 9000, 6.1", "Version Negotiation is never answered", !probe.answer());
   testbed.worker(0).options.mute = true;
--- a/conformance/suites/zero_rtt.cpp
+++ b/conformance/suites/zero_rtt.cpp
@@ -42,8 +42,8 @@
       std::string_view rest = datagram;
       while (!rest.empty()) {
         auto header = parse(rest);
-        if (!header || header->kind == Kind::short_header) break;
-        (header->kind == Kind::initial ? initial : early) += header->packet;
+        if (!header || header->type == PacketType::short_header) break;
+        (header->type == PacketType::initial ? initial : early) += header->packet;
         rest.remove_prefix(header->packet.size());
       }
     }
--- a/fuzz/quic_parsers.h
+++ b/fuzz/quic_parsers.h
@@ -37,17 +37,21 @@
   if (auto header = parse(bytes)) {
     demand(within(header->destination, bytes) && within(header->source, bytes) &&
            within(header->token, bytes) && within(header->packet, bytes));
-    std::size_t sound = sound_length(bytes, *header);
-    demand(sound <= bytes.size() && (header->kind == Kind::negotiation || sound >= header->packet.size()));
-    bool known = header->kind != Kind::short_header && header->kind != Kind::negotiation &&
-                 header->kind != Kind::other_version;
-    if (known) demand(header->destination.size() <= kLongestId && header->source.size() <= kLongestId);
-    if (header->kind == Kind::initial) {
+    std::size_t sound = same_connection_length(bytes, *header);
+    demand(sound <= bytes.size() &&
+           (header->type == PacketType::version_negotiation || sound >= header->packet.size()));
+    bool known = header->type != PacketType::short_header &&
+                 header->type != PacketType::version_negotiation &&
+                 header->type != PacketType::unsupported_version;
+    if (known)
+      demand(header->destination.size() <= kMaxConnectionIdLength &&
+             header->source.size() <= kMaxConnectionIdLength);
+    if (header->type == PacketType::initial) {
       open_initial(keys, bytes);
       validation.judge(*header, client, now);
     }
-    if (header->kind == Kind::retry) retry_is_authentic(bytes, "original");
-    if (header->kind == Kind::other_version)
+    if (header->type == PacketType::retry) retry_is_authentic(bytes, "original");
+    if (header->type == PacketType::unsupported_version)
       demand(version_negotiation(*header, {kVersion1}).size() <= bytes.size() + 16);
   }
   for (bool exact : {false, true})
@@ -57,9 +61,9 @@
     }
   sealer.open(bytes, client, now);
   std::string_view rest = bytes;
-  if (take_proxy_header(rest)) demand(rest.size() < bytes.size() && within(rest, bytes));
+  if (consume_proxy_header(rest)) demand(rest.size() < bytes.size() && within(rest, bytes));
   rest = bytes;
-  while (take_varint(rest)) {
+  while (consume_varint(rest)) {
   }
 }
 
--- a/src/quic/connection_id.cpp
+++ b/src/quic/connection_id.cpp
@@ -63,7 +63,7 @@
 }  // namespace
 
 std::string config_error(const IdConfig& c) {
-  if (c.rotation >= kUnroutable) return "rotation: expected 0 to 6";
+  if (c.rotation >= kUnroutableRotation) return "rotation: expected 0 to 6";
   if (c.server_id_length < 1 || c.server_id_length > 15) return "server_id_length: expected 1 to 15";
   if (c.nonce_length < 4 || c.nonce_length > 18) return "nonce_length: expected 4 to 18";
   if (c.length() > 20) return "nonce_length: expected at most 19 octets together with the server id";
--- a/src/quic/connection_id.h
+++ b/src/quic/connection_id.h
@@ -18,7 +18,7 @@
 
 namespace marblehub::quic {
 
-constexpr unsigned kUnroutable = 7;  // the rotation value that no config may have
+constexpr unsigned kUnroutableRotation = 7;  // the rotation value that no config may have
 
 /// A configuration of the second front that cannot be used: what() names the key and what was expected.
 class ConfigError : public std::runtime_error {
@@ -70,7 +70,7 @@
 
 // Whether an id says by itself that it names no worker (draft, section 3.1).
 inline bool unroutable(std::string_view id) {
-  return !id.empty() && static_cast<unsigned char>(id[0]) >> 5 == kUnroutable;
+  return !id.empty() && static_cast<unsigned char>(id[0]) >> 5 == kUnroutableRotation;
 }
 
 // The server id of a worker whose config names none: the start of the SHA-256 of its name.
--- a/src/quic/datagrams.h
+++ b/src/quic/datagrams.h
@@ -50,7 +50,7 @@
   // The bytes that stand before the payload are written by the caller into what `add` returns, if any.
   struct Entry {
     Endpoint to;  // unspecified on a connected socket
-    std::array<char, kLongestProxyHeader> header;
+    std::array<char, kMaxProxyHeaderSize> header;
     std::size_t header_size = 0;
     std::string_view payload;
     unsigned char ecn = 0;
--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -47,7 +47,7 @@
 
 Flow::Flow(Front& f, const Header& header, const Endpoint& from)
     : front(f),
-      first_destination(header.kind == Kind::short_header ? std::string_view() : header.destination),
+      first_destination(header.type == PacketType::short_header ? std::string_view() : header.destination),
       client_source(header.source),
       version(header.version),
       client(from) {}
@@ -68,8 +68,8 @@
   return std::any_of(flight.begin(), flight.end(), [](const std::string& datagram) {
     for (std::string_view rest = datagram; !rest.empty();) {
       auto header = parse(rest);
-      if (!header || header->kind == Kind::short_header) return false;
-      if (header->kind == Kind::zero_rtt) return true;
+      if (!header || header->type == PacketType::short_header) return false;
+      if (header->type == PacketType::zero_rtt) return true;
       rest.remove_prefix(header->packet.size());
     }
     return false;
@@ -101,7 +101,7 @@
   beginning->flight = {};
   header.destination = beginning->keys_from;
   header.source = client_source;
-  std::string& closing = beginning->closing = close_initial(header, kConnectionRefused, reason);
+  std::string& closing = beginning->closing = connection_close_packet(header, kConnectionRefused, reason);
   front.closes_.add();
   if (may_answer(closing.size())) front.to_client(client, closing);
 }
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -129,10 +129,10 @@
   in_.add();
   const Endpoint& from = datagram.from;
   auto header = parse(datagram.bytes);
-  if (!header || header->kind == Kind::negotiation || header->kind == Kind::retry)
+  if (!header || header->type == PacketType::version_negotiation || header->type == PacketType::retry)
     return malformed_.add();  // a client sends neither of these two
   refresh_workers();
-  if (header->kind == Kind::short_header) {
+  if (header->type == PacketType::short_header) {
     auto id = ids_.codec().decode(header->destination, false);
     if (id) return route(*id, datagram.bytes, datagram);
     if (unroutable(header->destination)) return by_tuple(datagram.bytes, datagram);
@@ -140,8 +140,9 @@
   }
   bool spoken = std::find(settings_.versions.begin(), settings_.versions.end(), header->version) !=
                 settings_.versions.end();
-  if (header->kind == Kind::other_version || !spoken) return other_version(*header, datagram.bytes, from);
-  std::string_view bytes = datagram.bytes.substr(0, sound_length(datagram.bytes, *header));
+  if (header->type == PacketType::unsupported_version || !spoken)
+    return other_version(*header, datagram.bytes, from);
+  std::string_view bytes = datagram.bytes.substr(0, same_connection_length(datagram.bytes, *header));
   auto known = flows_.find(flow_key(header->destination, header->source).view());
   if (known != flows_.end()) {
     Flow& flow = *known->second;
@@ -160,8 +161,8 @@
   }
   // An Initial whose id names a worker only by chance, or by design, has no claim to it: where a call goes,
   // and whether anything new goes to a worker that drains, is the module's to say.
-  if (header->kind == Kind::initial) return initial(*header, datagram, bytes);
-  if (header->kind == Kind::zero_rtt) return stash(*header, bytes);
+  if (header->type == PacketType::initial) return initial(*header, datagram, bytes);
+  if (header->type == PacketType::zero_rtt) return stash(*header, bytes);
   if (auto id = ids_.codec().decode(header->destination, true)) return route(*id, bytes, datagram);
   if (unroutable(header->destination)) return by_tuple(bytes, datagram);
   unknown_id_.add();
@@ -170,20 +171,21 @@
 void Front::other_version(const Header& header, std::string_view bytes, const Endpoint& from) {
   unknown_version_.add();
   // Only a datagram that could begin a connection is answered: the answer is never longer than what came.
-  if (bytes.size() >= kSmallestInitial) to_client(from, version_negotiation(header, settings_.versions));
+  if (bytes.size() >= kMinInitialDatagramSize)
+    to_client(from, version_negotiation(header, settings_.versions));
 }
 
 void Front::initial(const Header& header, const Datagram& datagram, std::string_view sound) {
   const Endpoint& from = datagram.from;
-  if (datagram.bytes.size() < kSmallestInitial || header.destination.size() < kShortestFirstId ||
-      !header.fixed)
+  if (datagram.bytes.size() < kMinInitialDatagramSize ||
+      header.destination.size() < kMinInitialDestinationIdLength || !header.fixed_bit)
     return malformed_.add();  // RFC 9000, 14.1 and 7.2
-  if (closed_) return to_client(from, close_initial(header, kConnectionRefused, "leaving"));
+  if (closed_) return to_client(from, connection_close_packet(header, kConnectionRefused, "leaving"));
   AddressValidation::Judged judged = validation_.judge(header, from, now_);
   using Verdict = AddressValidation::Verdict;
   if (judged.verdict == Verdict::refuse) {
     bad_tokens_.add();
-    return to_client(from, close_initial(header, kInvalidToken, "token"));
+    return to_client(from, connection_close_packet(header, kInvalidToken, "token"));
   }
   if (judged.verdict == Verdict::ask) {
     retries_.add();
@@ -196,7 +198,7 @@
                      const std::optional<RetryToken>& token) {
   if (flows_.size() >= settings_.calls) {
     full_.add();
-    return to_client(datagram.from, close_initial(header, kConnectionRefused, "busy"));
+    return to_client(datagram.from, connection_close_packet(header, kConnectionRefused, "busy"));
   }
   auto flow = std::make_shared<Flow>(*this, header, datagram.from);
   if (token) {
@@ -311,7 +313,7 @@
   WorkerTable::Worker& worker = flow.path->worker;
   if (workers_.dead(worker)) {
     auto header = parse(bytes);  // it was one: it has been parsed before
-    auto id = ids_.codec().decode(header->destination, header->kind != Kind::short_header);
+    auto id = ids_.codec().decode(header->destination, header->type != PacketType::short_header);
     if (id) reset_for(id->id, bytes, datagram.from);
     lose(flow, core::Outcome::reset);
     if (worker.gone || !workers_.may_send(worker, now_) || !flow.path) return;
--- a/src/quic/initial.cpp
+++ b/src/quic/initial.cpp
@@ -41,7 +41,7 @@
 std::string seal_initial(const InitialKeys& keys, std::string_view destination, std::string_view source,
                          std::uint32_t packet_number, std::string_view frames, std::uint32_t version,
                          std::string_view token) {
-  std::string packet(1, long_first_octet(Kind::initial, version, kNumber - 1));
+  std::string packet(1, long_header_first_byte(PacketType::initial, version, kNumber - 1));
   put_u32(packet, version);
   packet += static_cast<char>(destination.size());
   packet += destination;
@@ -61,13 +61,13 @@
 
 std::optional<std::string> open_initial(const InitialKeys& keys, std::string_view datagram) {
   auto header = parse(datagram);
-  if (!header || header->kind != Kind::initial) return std::nullopt;
+  if (!header || header->type != PacketType::initial) return std::nullopt;
   // parse has seen to it that the length covers number and sample.
   std::string packet(header->packet);
   std::string_view rest = header->packet.substr(7 + header->destination.size() + header->source.size());
-  auto token = take_varint(rest);
+  auto token = consume_varint(rest);
   rest.remove_prefix(static_cast<std::size_t>(*token));
-  take_varint(rest);
+  consume_varint(rest);
   std::size_t number_at = packet.size() - rest.size();
   Block mask = mask_of(keys, rest.substr(4, kSample));
   mask_octet(packet[0], mask[0] & 0x0f);
@@ -82,14 +82,14 @@
   return gcm_open(keys.key, nonce_of(keys, number), whole.substr(body_at), whole.substr(0, body_at));
 }
 
-std::string close_initial(const Header& client, std::uint64_t error, std::string_view reason) {
+std::string connection_close_packet(const Header& client, std::uint64_t error, std::string_view reason) {
   std::string frames(1, '\x1c');
   put_varint(frames, error);
   put_varint(frames, 0);  // no frame of the client's is to blame
   put_varint(frames, reason.size());
   frames += reason;
   std::string source = random_bytes(8);
-  source[0] = static_cast<char>(source[0] | kUnroutable << 5);
+  source[0] = static_cast<char>(source[0] | kUnroutableRotation << 5);
   return seal_initial(initial_keys(client.destination, true, client.version), client.source, source, 0,
                       frames, client.version);
 }
--- a/src/quic/initial.h
+++ b/src/quic/initial.h
@@ -26,6 +26,6 @@
 std::optional<std::string> open_initial(const InitialKeys& keys, std::string_view datagram);
 
 // What a server sends to end a connection that it has not begun; `client` needs version and ids only.
-std::string close_initial(const Header& client, std::uint64_t error, std::string_view reason);
+std::string connection_close_packet(const Header& client, std::uint64_t error, std::string_view reason);
 
 }  // namespace marblehub::quic
--- a/src/quic/packet.cpp
+++ b/src/quic/packet.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::optional<std::uint64_t> take_varint(std::string_view& bytes) {
+std::optional<std::uint64_t> consume_varint(std::string_view& bytes) {
   if (bytes.empty()) return std::nullopt;
   std::size_t size = std::size_t{1} << (octet(bytes[0]) >> 6);
   auto part = take(bytes, size);
@@ -42,11 +42,12 @@
 namespace {
 
 // RFC 9000, 17.2, table 5, and RFC 9369, 3.2: version 2 turns the four types by one.
-constexpr Kind kKinds[] = {Kind::initial, Kind::zero_rtt, Kind::handshake, Kind::retry};
+constexpr PacketType kLongHeaderTypes[] = {PacketType::initial, PacketType::zero_rtt, PacketType::handshake,
+                                           PacketType::retry};
 
-unsigned type_of(Kind kind, std::uint32_t version) {
-  auto type = static_cast<unsigned>(kind);  // initial, 0-RTT, handshake, retry: 0 to 3
-  return version == kVersion2 ? (type + 1) & 3 : type;
+unsigned type_bits_of(PacketType type, std::uint32_t version) {
+  auto type_bits = static_cast<unsigned>(type);  // initial, 0-RTT, handshake, retry: 0 to 3
+  return version == kVersion2 ? (type_bits + 1) & 3 : type_bits;
 }
 
 }  // namespace
@@ -55,8 +56,8 @@
   for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(value >> shift);
 }
 
-char long_first_octet(Kind kind, std::uint32_t version, unsigned low) {
-  return static_cast<char>(0xc0 | type_of(kind, version) << 4 | (low & 0x0f));
+char long_header_first_byte(PacketType type, std::uint32_t version, unsigned low) {
+  return static_cast<char>(0xc0 | type_bits_of(type, version) << 4 | (low & 0x0f));
 }
 
 std::optional<Header> parse(std::string_view datagram) {
@@ -64,7 +65,7 @@
   std::uint8_t first = octet(datagram[0]);
   Header header;
   header.packet = datagram;
-  header.fixed = (first & 0x40) != 0;
+  header.fixed_bit = (first & 0x40) != 0;
   std::string_view rest = datagram.substr(1);
   if (!(first & 0x80)) {
     if (rest.empty()) return std::nullopt;
@@ -80,40 +81,41 @@
   header.destination = *destination;
   header.source = *source;
   if (header.version == 0) {
-    header.kind = Kind::negotiation;
+    header.type = PacketType::version_negotiation;
     return header;
   }
   if (header.version != kVersion1 && header.version != kVersion2) {
-    header.kind = Kind::other_version;
+    header.type = PacketType::unsupported_version;
     return header;
   }
-  if (destination->size() > kLongestId || source->size() > kLongestId) return std::nullopt;
-  unsigned type = first >> 4 & 3;
-  header.kind = kKinds[header.version == kVersion2 ? (type + 3) & 3 : type];
-  if (header.kind == Kind::retry) return header;
-  if (header.kind == Kind::initial) {
-    auto size = take_varint(rest);
+  if (destination->size() > kMaxConnectionIdLength || source->size() > kMaxConnectionIdLength)
+    return std::nullopt;
+  unsigned type_bits = first >> 4 & 3;
+  header.type = kLongHeaderTypes[header.version == kVersion2 ? (type_bits + 3) & 3 : type_bits];
+  if (header.type == PacketType::retry) return header;
+  if (header.type == PacketType::initial) {
+    auto size = consume_varint(rest);
     auto token = size ? take(rest, *size) : std::nullopt;
     if (!token) return std::nullopt;
     header.token = *token;
   }
   // The length covers the packet number and the payload; 20 octets are the least that header protection
   // needs.
-  auto length = take_varint(rest);
+  auto length = consume_varint(rest);
   if (!length || *length < 20 || *length > rest.size()) return std::nullopt;
   header.packet = datagram.substr(0, datagram.size() - rest.size() + static_cast<std::size_t>(*length));
   return header;
 }
 
-std::size_t sound_length(std::string_view datagram, const Header& first) {
-  if (first.kind == Kind::short_header || first.kind == Kind::retry) return datagram.size();
+std::size_t same_connection_length(std::string_view datagram, const Header& first) {
+  if (first.type == PacketType::short_header || first.type == PacketType::retry) return datagram.size();
   std::size_t sound = first.packet.size();
   while (sound < datagram.size()) {
     std::string_view rest = datagram.substr(sound);
     auto next = parse(rest);
-    if (!next || (next->kind == Kind::short_header && !next->fixed))
+    if (!next || (next->type == PacketType::short_header && !next->fixed_bit))
       return datagram.size();  // padding outside of packets, which receivers pass over
-    if (next->kind == Kind::short_header)
+    if (next->type == PacketType::short_header)
       return next->destination.starts_with(first.destination) ? datagram.size() : sound;
     if (next->version != first.version || next->destination != first.destination) return sound;
     sound += next->packet.size();
--- a/src/quic/proxy_header.cpp
+++ b/src/quic/proxy_header.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::size_t write_proxy_header(std::array<char, kLongestProxyHeader>& out, const ProxyHeader& header) {
+std::size_t write_proxy_header(std::array<char, kMaxProxyHeaderSize>& out, const ProxyHeader& header) {
   char* at = out.data();
   auto put = [&at](std::string_view bytes) {
     std::memcpy(at, bytes.data(), bytes.size());
@@ -50,7 +50,7 @@
   return static_cast<std::size_t>(at - out.data());
 }
 
-std::optional<ProxyHeader> take_proxy_header(std::string_view& datagram) {
+std::optional<ProxyHeader> consume_proxy_header(std::string_view& datagram) {
   if (datagram.size() < 16 || !datagram.starts_with(kSignature)) return std::nullopt;
   auto command = static_cast<unsigned char>(datagram[12]), family = static_cast<unsigned char>(datagram[13]);
   std::size_t length = u16(datagram.substr(14));
--- a/src/quic/proxy_header.h
+++ b/src/quic/proxy_header.h
@@ -21,12 +21,12 @@
   std::string_view original_id, retry_id;  // where the values are there
 };
 
-constexpr std::size_t kLongestProxyHeader = 16 + 36 + 2 * (3 + 20);
+constexpr std::size_t kMaxProxyHeaderSize = 16 + 36 + 2 * (3 + 20);
 
 // Writes the header and returns its length. Source and destination are of one family.
-std::size_t write_proxy_header(std::array<char, kLongestProxyHeader>& out, const ProxyHeader& header);
+std::size_t write_proxy_header(std::array<char, kMaxProxyHeaderSize>& out, const ProxyHeader& header);
 
 // Takes the header off a datagram; none where there is no sound one for datagrams over IPv4 or IPv6.
-std::optional<ProxyHeader> take_proxy_header(std::string_view& datagram);
+std::optional<ProxyHeader> consume_proxy_header(std::string_view& datagram);
 
 }  // namespace marblehub::quic
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -164,7 +164,7 @@
 void Front::adopt(Path& path) {
   if (flows_.size() >= settings_.calls) return;
   Header header;
-  header.kind = Kind::handshake;
+  header.type = PacketType::handshake;
   header.version = kVersion1;
   header.destination = path.last_id;
   auto flow = std::make_shared<Flow>(*this, header, path.client);
--- a/src/quic/validation.cpp
+++ b/src/quic/validation.cpp
@@ -23,7 +23,7 @@
 std::optional<ConnectionId> take_id(std::string_view& bytes) {
   if (bytes.empty()) return std::nullopt;
   auto size = static_cast<unsigned char>(bytes[0]);
-  if (size > kLongestId || bytes.size() < 1u + size) return std::nullopt;
+  if (size > kMaxConnectionIdLength || bytes.size() < 1u + size) return std::nullopt;
   ConnectionId id(bytes.substr(1, size));
   bytes.remove_prefix(1 + size);
   return id;
@@ -96,7 +96,7 @@
 
 std::string retry_packet(std::uint32_t version, std::string_view destination, std::string_view source,
                          std::string_view token, std::string_view original) {
-  std::string packet(1, long_first_octet(Kind::retry, version, 0));
+  std::string packet(1, long_header_first_byte(PacketType::retry, version, 0));
   put_u32(packet, version);
   put_id(packet, destination);
   put_id(packet, source);
@@ -106,7 +106,7 @@
 
 bool retry_is_authentic(std::string_view packet, std::string_view original) {
   auto header = parse(packet);
-  if (!header || header->kind != Kind::retry || packet.size() < kTag) return false;
+  if (!header || header->type != PacketType::retry || packet.size() < kTag) return false;
   std::string_view body = packet.substr(0, packet.size() - kTag);
   return equal_in_constant_time(retry_tag(header->version, body, original), packet.substr(body.size()));
 }
@@ -148,7 +148,7 @@
 
 std::string AddressValidation::retry(const Header& initial, const Endpoint& from, std::int64_t now) {
   std::string source = random_bytes(kRetryId);
-  source[0] = static_cast<char>(source[0] | kUnroutable << 5);
+  source[0] = static_cast<char>(source[0] | kUnroutableRotation << 5);
   std::string token = sealer_.seal({initial.destination, source, now}, from, now);
   return retry_packet(initial.version, initial.source, source, token, initial.destination);
 }
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -25,12 +25,12 @@
   if (!frames.empty() && frames[0] == 2) {
     frames.remove_prefix(1);
     for (int field = 0; field < 4; ++field)
-      if (!take_varint(frames)) return false;
+      if (!consume_varint(frames)) return false;
     while (!frames.empty() && frames[0] == 0) frames.remove_prefix(1);
   }
   if (frames.empty() || frames[0] != 0x1c) return false;
   frames.remove_prefix(1);
-  return take_varint(frames) == kConnectionRefused;
+  return consume_varint(frames) == kConnectionRefused;
 }
 
 }  // namespace
@@ -81,7 +81,7 @@
   Upstream* upstream = upstream_of(*flow.path);
   if (!upstream) return full_.add();
   bool asked = flow.original && !(*flow.original == flow.first_destination);  // by us; a worker knows its own
-  std::array<char, kLongestProxyHeader> header;
+  std::array<char, kMaxProxyHeaderSize> header;
   std::size_t size = 0;
   if (!upstream->only) {
     ProxyHeader fields = header_towards(*flow.path);
@@ -99,7 +99,7 @@
 void Front::send_control(Path& path, const std::string& words) {
   Upstream* upstream = upstream_of(path);
   if (!upstream) return;
-  std::array<char, kLongestProxyHeader> header;
+  std::array<char, kMaxProxyHeaderSize> header;
   std::size_t size = upstream->only ? 0 : write_proxy_header(header, header_towards(path));
   send_now(upstream->fd(), std::string_view(header.data(), size), std::string(kControl) + words);
 }
@@ -142,7 +142,7 @@
   if (upstream.only) {
     client = upstream.only->client;
   } else {
-    auto header = take_proxy_header(bytes);
+    auto header = consume_proxy_header(bytes);
     if (!header || header->local || header->destination.family() != listen_.family()) return malformed_.add();
     client = header->destination;
   }
@@ -193,10 +193,10 @@
   std::size_t count = 0;
   for (Flow* flow : trying_at(upstream, client)) {
     if (flow->by_tuple || !(flow->client_source == header.destination)) continue;
-    if (header.kind == Kind::initial) {
+    if (header.type == PacketType::initial) {
       auto frames = open_initial(initial_keys(flow->beginning->keys_from, true, header.version), bytes);
       if (frames) return {flow, std::move(*frames)};
-    } else if (header.kind == Kind::retry) {
+    } else if (header.type == PacketType::retry) {
       if (retry_is_authentic(bytes, flow->beginning->keys_from)) return {flow, ""};
     } else {
       alike = flow;
@@ -209,20 +209,21 @@
 void Front::long_reply(Upstream& upstream, std::string_view bytes, const Endpoint& client,
                        unsigned char ecn) {
   auto header = parse(bytes);
-  if (!header || header->kind == Kind::negotiation || header->kind == Kind::other_version)
+  if (!header || header->type == PacketType::version_negotiation ||
+      header->type == PacketType::unsupported_version)
     return malformed_.add();  // the router itself has negotiated
-  if (header->kind != Kind::retry)
+  if (header->type != PacketType::retry)
     if (Flow* flow = linked(header->source); flow && flow->standing && flow->path)
       return pass_to_client(client, flow->path, bytes, ecn);
   Reply reply = answered_by(upstream, *header, bytes, client);
   if (Flow* flow = reply.flow) {
-    if (header->kind == Kind::initial && refuses(reply.frames) && flow->exchange)
+    if (header->type == PacketType::initial && refuses(reply.frames) && flow->exchange)
       return flow->exchange->worker_ended(Outcome::full, Ending::finished);
-    if (header->kind == Kind::initial) {
+    if (header->type == PacketType::initial) {
       if (ids_.codec().decode(header->source, true)) link(*flow, header->source);
       return establish(*flow, bytes);
     }
-    if (header->kind == Kind::retry) {
+    if (header->type == PacketType::retry) {
       // The client begins again with the id that the worker has chosen; the call waits on, bound to it.
       if (flow->bound || header->source.empty()) return malformed_.add();
       if (!flow->original) flow->original = std::make_unique<ConnectionId>(flow->first_destination);
@@ -236,7 +237,7 @@
   // An Initial that no call waits for answers one that has been given up. Of a handshake that began before
   // this start or at another router, the client has spoken here first.
   Path* path = upstream.only ? upstream.only : known_path(client, upstream.worker);
-  if (header->kind == Kind::initial || header->kind == Kind::retry || !path ||
+  if (header->type == PacketType::initial || header->type == PacketType::retry || !path ||
       (path->flow && !path->flow->standing))
     return late_replies_.add();
   pass_to_client(client, path, bytes, ecn);
@@ -270,13 +271,15 @@
   std::string_view rest = space == std::string_view::npos ? "" : words.substr(space + 1);
   auto id = unhex(rest.substr(0, rest.find(' ')));
   std::string_view more = rest.find(' ') == std::string_view::npos ? "" : rest.substr(rest.find(' ') + 1);
-  Flow* flow = id && !id->empty() && id->size() <= kLongestId ? named(upstream, client, *id) : nullptr;
+  Flow* flow =
+      id && !id->empty() && id->size() <= kMaxConnectionIdLength ? named(upstream, client, *id) : nullptr;
   if (!flow) return malformed_.add();
   if (verb == "BUSY" && !flow->standing && flow->exchange) {
     flow->exchange->worker_ended(Outcome::full, Ending::finished);
   } else if (verb == "LINK" && flow->standing) {
     auto other = unhex(more);
-    if (!other || other->size() > kLongestId || !ids_.codec().decode(*other, true)) return malformed_.add();
+    if (!other || other->size() > kMaxConnectionIdLength || !ids_.codec().decode(*other, true))
+      return malformed_.add();
     // Where it had been taken for a connection of its own, it is one no longer.
     if (Flow* twin = linked(*other); twin && twin != flow) {
       if (core::Exchange* exchange = std::exchange(twin->exchange, nullptr))
--- a/tests/quic/front_test.cpp
+++ b/tests/quic/front_test.cpp
@@ -189,7 +189,7 @@
   auto answer = udp.receive();
   REQUIRE(answer.has_value());  // version negotiation, the ids the other way round; nothing else is answered
   auto header = parse(*answer);
-  CHECK(header->kind == Kind::negotiation);
+  CHECK(header->type == PacketType::version_negotiation);
   CHECK(header->destination == c.source);
   CHECK(header->source == c.first);
   std::string offers = answer->substr(answer->size() - 12);
--- a/tests/quic/ids_test.cpp
+++ b/tests/quic/ids_test.cpp
@@ -100,7 +100,7 @@
   CHECK(hex(server.iv) == "dd13c276499c0249d3310652");
   CHECK(hex(server.hp) == "edf6d05c83121201b436e16877593c3a");
   std::string sealed = seal_initial(client, "destination", "source", 3, "frames of some length", kVersion2);
-  CHECK(parse(sealed)->kind == Kind::initial);
+  CHECK(parse(sealed)->type == PacketType::initial);
   CHECK((static_cast<unsigned char>(sealed[0]) >> 4 & 3) == 1);  // 3.2: its type is 0b01
   CHECK(open_initial(client, sealed) == "frames of some length");
   CHECK_FALSE(open_initial(initial_keys(bytes("8394c8f03e515708"), false, kVersion1), sealed).has_value());
@@ -120,7 +120,7 @@
   }
   for (std::uint32_t version : {kVersion1, kVersion2}) {
     std::string made = retry_packet(version, "", source, "token", original);
-    CHECK(parse(made)->kind == Kind::retry);
+    CHECK(parse(made)->type == PacketType::retry);
     CHECK(parse(made)->source == source);
     CHECK(retry_is_authentic(made, original));
   }
@@ -131,7 +131,9 @@
   std::string one = seal_initial(keys, "destination", "source", 0, std::string(300, '\0'));
   std::string two = seal_initial(keys, "destination", "source", 1, std::string(300, '\0'));
   std::string foreign = seal_initial(keys, "another one", "source", 1, std::string(300, '\0'));
-  auto sound = [&](const std::string& datagram) { return sound_length(datagram, *parse(datagram)); };
+  auto sound = [&](const std::string& datagram) {
+    return same_connection_length(datagram, *parse(datagram));
+  };
   CHECK(sound(one) == one.size());
   CHECK(sound(one + two) == one.size() + two.size());
   CHECK(sound(one + foreign) == one.size());
--- a/tests/quic/parts.h
+++ b/tests/quic/parts.h
@@ -35,7 +35,7 @@
 inline Header initial_of(std::string_view destination, std::string_view token = "",
                          std::uint32_t version = kVersion1) {
   Header header;
-  header.kind = Kind::initial;
+  header.type = PacketType::initial;
   header.version = version;
   header.destination = destination;
   header.source = "client";
@@ -49,7 +49,7 @@
       : packet(validation.retry(initial, from, now)) {
     auto header = parse(packet);
     REQUIRE(header.has_value());
-    REQUIRE(header->kind == Kind::retry);
+    REQUIRE(header->type == PacketType::retry);
     id = header->source;
     std::size_t token_at = 7 + header->destination.size() + header->source.size();
     token = packet.substr(token_at, packet.size() - token_at - 16);
--- a/tests/quic/quic_settings_test.cpp
+++ b/tests/quic/quic_settings_test.cpp
@@ -9,7 +9,7 @@
 // ---- The PROXY header ------------------------------------------------------------------------------
 
 TEST_CASE("the PROXY header is that of the specification, and comes back") {
-  std::array<char, kLongestProxyHeader> out;
+  std::array<char, kMaxProxyHeaderSize> out;
   std::size_t size = write_proxy_header(out, {false, at("10.1.2.3:4000"), at("127.0.0.1:7443"), {}, {}});
   CHECK(hex(std::string_view(out.data(), size)) ==
         "0d0a0d0a000d0a515549540a"  // the signature
@@ -18,7 +18,7 @@
   size = write_proxy_header(out, {false, at("[2001:db8::1]:4000"), at("[::1]:7443"), "original", "retry"});
   std::string datagram = std::string(out.data(), size) + "payload";
   std::string_view rest = datagram;
-  auto header = take_proxy_header(rest);
+  auto header = consume_proxy_header(rest);
   REQUIRE(header.has_value());
   CHECK(rest == "payload");
   CHECK(header->source == at("[2001:db8::1]:4000"));
@@ -28,11 +28,11 @@
   for (std::size_t cut = 0; cut < size; ++cut) {
     std::string_view part = std::string_view(datagram).substr(0, cut);
     INFO(cut);
-    CHECK_FALSE(take_proxy_header(part).has_value());
+    CHECK_FALSE(consume_proxy_header(part).has_value());
   }
   size = write_proxy_header(out, {true, {}, {}, {}, {}});
   rest = std::string_view(out.data(), size);
-  CHECK(take_proxy_header(rest)->local);
+  CHECK(consume_proxy_header(rest)->local);
 }
 
 // ---- Settings --------------------------------------------------------------------------------------
--- a/tests/quic/scene.h
+++ b/tests/quic/scene.h
@@ -58,7 +58,7 @@
       }
       auto header = parse(*bytes);
       if (!header) continue;
-      if (header->kind == Kind::initial) {
+      if (header->type == PacketType::initial) {
         initials += 1;
         if (mute) continue;
         std::string first(header->destination);
@@ -135,7 +135,7 @@
       while (auto bytes = from.receive()) {
         auto header = parse(*bytes);
         if (!header) continue;
-        if (header->kind == Kind::initial) {
+        if (header->type == PacketType::initial) {
           auto frames = open_initial(initial_keys(first, true), *bytes);
           if (!frames) continue;
           if ((*frames)[0] == '\x1c') {
@@ -145,7 +145,7 @@
             ups += 1;
             id = header->source;
           }
-        } else if (header->kind == Kind::short_header) {
+        } else if (header->type == PacketType::short_header) {
           next_id = bytes->substr(9, 11);
           answers[bytes->substr(20)] += 1;
         }
--- a/tests/quic_mutation_test.cpp
+++ b/tests/quic_mutation_test.cpp
@@ -20,7 +20,7 @@
   unknown.destination = "destination";
   unknown.source = "source";
   seeds.push_back(version_negotiation(unknown, {kVersion1, kVersion2}));
-  std::array<char, kLongestProxyHeader> out;
+  std::array<char, kMaxProxyHeaderSize> out;
   Endpoint four = *Endpoint::parse("127.0.0.1:1"), six = *Endpoint::parse("[::1]:1");
   for (const ProxyHeader& header : {ProxyHeader{false, four, four, "original", "retry"},
                                     {false, six, six, {}, {}},
