--- a/bench/quic_parts_bench.cpp
+++ b/bench/quic_parts_bench.cpp
@@ -40,12 +40,13 @@
   initial.destination = "original";
   initial.source = "client";
   Endpoint client = *Endpoint::parse("127.0.0.1:4000");
-  for (auto _ : state) benchmark::DoNotOptimize(validation.retry(initial, client, 1'700'000'000'000'000));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(validation.make_retry(initial, client, 1'700'000'000'000'000));
 }
 BENCHMARK(make_retry);
 
 void make_reset_token(benchmark::State& state) {
-  for (auto _ : state) benchmark::DoNotOptimize(reset_token("a key of sixteen", "connection id"));
+  for (auto _ : state) benchmark::DoNotOptimize(stateless_reset_token("a key of sixteen", "connection id"));
 }
 BENCHMARK(make_reset_token);
 
--- a/conformance/peers/served_connection.cpp
+++ b/conformance/peers/served_connection.cpp
@@ -66,7 +66,8 @@
   }
   if (!worker_.options.reset_key.empty()) {
     params.stateless_reset_token_present = 1;
-    std::memcpy(params.stateless_reset_token, quic::reset_token(worker_.options.reset_key, ids[0]).data(),
+    std::memcpy(params.stateless_reset_token,
+                quic::stateless_reset_token(worker_.options.reset_key, ids[0]).data(),
                 NGTCP2_STATELESS_RESET_TOKENLEN);
   }
   return params;
@@ -115,7 +116,7 @@
   std::string made = worker_.make_id();
   id = cid_of(made);
   std::string key = worker_.options.reset_key.empty() ? "none" : worker_.options.reset_key;
-  std::memcpy(token, quic::reset_token(key, made).data(), NGTCP2_STATELESS_RESET_TOKENLEN);
+  std::memcpy(token, quic::stateless_reset_token(key, made).data(), NGTCP2_STATELESS_RESET_TOKENLEN);
   ids.push_back(made);
   unlinked_.push_back(made);
   worker_.by_id_[made] = worker_.by_id_.at(ids[0]);
--- a/conformance/suites/workers.cpp
+++ b/conformance/suites/workers.cpp
@@ -105,7 +105,7 @@
     probe.send("\x40" + id + std::string(80, 'x'));
     auto packet = probe.answer();
     report.check("RFC 9000, 10.3", "for one that the registry calls gone it does",
-                 packet && packet->ends_with(reset_token(kResetKey, id)));
+                 packet && packet->ends_with(stateless_reset_token(kResetKey, id)));
     report.check("RFC 9000, 10.3.3", "shorter than what came", packet && packet->size() < 92);
     probe.send("\x40" + id + std::string(9, 'x'));
     report.check("RFC 9000, 10.3.3", "and none where it could not be", !probe.answer(300));
--- a/fuzz/quic_parsers.h
+++ b/fuzz/quic_parsers.h
@@ -48,7 +48,7 @@
              header->source.size() <= kMaxConnectionIdLength);
     if (header->type == PacketType::initial) {
       open_initial(keys, bytes);
-      validation.judge(*header, client, now);
+      validation.validate(*header, client, now);
     }
     if (header->type == PacketType::retry) retry_is_authentic(bytes, "original");
     if (header->type == PacketType::unsupported_version)
--- a/src/quic/crypto.cpp
+++ b/src/quic/crypto.cpp
@@ -125,7 +125,7 @@
   return out;
 }
 
-bool equal_in_constant_time(std::string_view a, std::string_view b) {
+bool constant_time_equal(std::string_view a, std::string_view b) {
   return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
--- a/src/quic/crypto.h
+++ b/src/quic/crypto.h
@@ -48,6 +48,6 @@
 // HKDF-Expand-Label of TLS 1.3 (RFC 8446, 7.1) with an empty context.
 std::string hkdf_expand_label(std::string_view secret, std::string_view label, std::size_t length);
 std::string random_bytes(std::size_t count);
-bool equal_in_constant_time(std::string_view a, std::string_view b);
+bool constant_time_equal(std::string_view a, std::string_view b);
 
 }  // namespace marblehub::quic
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -104,7 +104,7 @@
   // Tokens that are under way must go on counting: only another way or another key begins anew.
   const ValidationSettings &was = settings_.retry, &is = next.retry;
   if (was.mode != is.mode || was.secret != is.secret || was.from_rate != is.from_rate ||
-      was.token_life != is.token_life || was.key_life != is.key_life)
+      was.token_lifetime != is.token_lifetime || was.key_lifetime != is.key_lifetime)
     validation_ = AddressValidation(is);
   if (next.reset_key != settings_.reset_key || next.resets_per_second != settings_.resets_per_second)
     reset_ = StatelessReset(next.reset_key, next.resets_per_second);
@@ -181,17 +181,17 @@
       header.destination.size() < kMinInitialDestinationIdLength || !header.fixed_bit)
     return malformed_.add();  // RFC 9000, 14.1 and 7.2
   if (closed_) return to_client(from, connection_close_packet(header, kConnectionRefused, "leaving"));
-  AddressValidation::Judged judged = validation_.judge(header, from, now_);
+  AddressValidation::Decision decision = validation_.validate(header, from, now_);
   using Verdict = AddressValidation::Verdict;
-  if (judged.verdict == Verdict::refuse) {
+  if (decision.verdict == Verdict::reject) {
     bad_tokens_.add();
     return to_client(from, connection_close_packet(header, kInvalidToken, "token"));
   }
-  if (judged.verdict == Verdict::ask) {
+  if (decision.verdict == Verdict::send_retry) {
     retries_.add();
-    return to_client(from, validation_.retry(header, from, now_));
+    return to_client(from, validation_.make_retry(header, from, now_));
   }
-  new_call(header, datagram, sound, judged.token);
+  new_call(header, datagram, sound, decision.token);
 }
 
 void Front::new_call(const Header& header, const Datagram& datagram, std::string_view sound,
@@ -202,7 +202,7 @@
   }
   auto flow = std::make_shared<Flow>(*this, header, datagram.from);
   if (token) {
-    flow->original = std::make_unique<ConnectionId>(token->original);
+    flow->original = std::make_unique<ConnectionId>(token->original_id);
     flow->validated = true;
   }
   flow->beginning = std::make_unique<Flow::Beginning>();
@@ -271,7 +271,7 @@
     return flow.standing ? follow(flow, bytes, datagram) : waiting(flow, datagram, bytes);
   }
   // Nothing proves such a packet's address or that it belongs to anything: in a flood none is taken.
-  if (bytes.size() < kShortestTuple || !(bytes[0] & 0x40) || closed_ || validation_.asking() ||
+  if (bytes.size() < kShortestTuple || !(bytes[0] & 0x40) || closed_ || validation_.requires_retry() ||
       flows_.size() >= settings_.calls)
     return unknown_id_.add();
   auto flow = std::make_shared<Flow>(*this, Header(), datagram.from);
@@ -387,7 +387,7 @@
   std::erase_if(early_, [now](const auto& entry) { return now - entry.second.since > kEarlyKept; });
   calls_gauge_.set(static_cast<double>(flows_.size()));
   paths_gauge_.set(static_cast<double>(all_paths_.size()));
-  asking_gauge_.set(validation_.asking());
+  asking_gauge_.set(validation_.requires_retry());
   retiring_gauge_.set(static_cast<double>(ids_.retiring()));
   auto closed = std::count_if(workers_.all().begin(), workers_.all().end(),
                               [](const auto& worker) { return worker->closed && !worker->gone; });
--- a/src/quic/settings.cpp
+++ b/src/quic/settings.cpp
@@ -74,9 +74,11 @@
         "retry.mode",
         {{"never", RetryMode::never}, {"always", RetryMode::always}, {"from_rate", RetryMode::from_rate}});
   retry.from_rate = options.number_or<double>("retry.from_rate", 1, retry.from_rate);
-  retry.token_life = options.number_or<std::int64_t>("retry.token_ms", 100, retry.token_life / 1000) * 1000;
-  retry.key_life = options.number_or<std::int64_t>("retry.key_ms", 1000, retry.key_life / 1000) * 1000;
-  if (retry.key_life < retry.token_life) options.refuse("retry.key_ms", "at least retry.token_ms");
+  retry.token_lifetime =
+      options.number_or<std::int64_t>("retry.token_ms", 100, retry.token_lifetime / 1000) * 1000;
+  retry.key_lifetime =
+      options.number_or<std::int64_t>("retry.key_ms", 1000, retry.key_lifetime / 1000) * 1000;
+  if (retry.key_lifetime < retry.token_lifetime) options.refuse("retry.key_ms", "at least retry.token_ms");
   retry.secret = key_at(options, "retry.key", folder);
   if (!retry.secret.empty() && retry.secret.size() < 16)
     options.refuse("retry.key", "32 hexadecimal digits or more");
--- a/src/quic/stateless_reset.h
+++ b/src/quic/stateless_reset.h
@@ -10,13 +10,13 @@
 
 namespace marblehub::quic {
 
-std::string reset_token(std::string_view key, std::string_view connection_id);
+std::string stateless_reset_token(std::string_view key, std::string_view connection_id);
 
 class StatelessReset {
  public:
   // An empty key: none is ever sent. `per_second` bounds them over all clients.
   StatelessReset(std::string key, double per_second) : key_(std::move(key)), bucket_(per_second) {}
-  bool possible() const { return !key_.empty(); }
+  bool enabled() const { return !key_.empty(); }
   // The answer to a packet of `received` octets for this id: shorter than it, so that two ends that reset
   // each other fall silent, and none where it could not be (10.3.3) or the rate is spent.
   std::optional<std::string> answer(std::string_view connection_id, std::size_t received, std::int64_t now);
--- a/src/quic/validation.cpp
+++ b/src/quic/validation.cpp
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-TokenSealer::TokenSealer(std::string secret, std::int64_t key_life)
-    : secret_(secret.empty() ? random_bytes(32) : std::move(secret)), key_life_(key_life) {}
+TokenSealer::TokenSealer(std::string secret, std::int64_t key_lifetime)
+    : secret_(secret.empty() ? random_bytes(32) : std::move(secret)), key_lifetime_(key_lifetime) {}
 
 const std::string& TokenSealer::key(std::int64_t epoch) {
   auto slot = static_cast<std::size_t>(epoch & 1);
@@ -59,25 +59,25 @@
 }
 
 std::string TokenSealer::seal(const RetryToken& token, const Endpoint& client, std::int64_t now) {
-  std::int64_t epoch = now / key_life_;
+  std::int64_t epoch = now / key_lifetime_;
   std::string plain;
-  put_time(plain, token.made);
-  put_id(plain, token.original);
-  put_id(plain, token.retry);
+  put_time(plain, token.issued_at);
+  put_id(plain, token.original_id);
+  put_id(plain, token.retry_id);
   std::string nonce = random_bytes(kNonce);
   return std::string(kMagic) + static_cast<char>(epoch) + nonce +
          gcm_seal(key(epoch), nonce, plain, client.bytes());
 }
 
-bool TokenSealer::ours(std::string_view token) {
+bool TokenSealer::has_token_format(std::string_view token) {
   return token.starts_with(kMagic) && token.size() >= kMagic.size() + 1 + kNonce + kTag;
 }
 
 std::optional<RetryToken> TokenSealer::open(std::string_view token, const Endpoint& client,
                                             std::int64_t now) {
-  if (!ours(token)) return std::nullopt;
+  if (!has_token_format(token)) return std::nullopt;
   // The key is this epoch's or the last one's; an octet tells which.
-  std::int64_t epoch = now / key_life_;
+  std::int64_t epoch = now / key_lifetime_;
   if (static_cast<char>(epoch) != token[kMagic.size()]) epoch -= 1;
   if (epoch < 0 || static_cast<char>(epoch) != token[kMagic.size()]) return std::nullopt;
   std::string_view rest = token.substr(kMagic.size() + 1);
@@ -85,12 +85,12 @@
   if (!plain || plain->size() < 8) return std::nullopt;
   RetryToken opened;
   std::string_view left = *plain;
-  for (int i = 0; i < 8; ++i) opened.made = opened.made << 8 | static_cast<unsigned char>(left[i]);
+  for (int i = 0; i < 8; ++i) opened.issued_at = opened.issued_at << 8 | static_cast<unsigned char>(left[i]);
   left.remove_prefix(8);
   auto original = take_id(left), retry = original ? take_id(left) : std::nullopt;
   if (!retry || !left.empty()) return std::nullopt;
-  opened.original = *original;
-  opened.retry = *retry;
+  opened.original_id = *original;
+  opened.retry_id = *retry;
   return opened;
 }
 
@@ -108,36 +108,36 @@
   auto header = parse(packet);
   if (!header || header->type != PacketType::retry || packet.size() < kTag) return false;
   std::string_view body = packet.substr(0, packet.size() - kTag);
-  return equal_in_constant_time(retry_tag(header->version, body, original), packet.substr(body.size()));
+  return constant_time_equal(retry_tag(header->version, body, original), packet.substr(body.size()));
 }
 
 AddressValidation::AddressValidation(ValidationSettings settings)
     : settings_(std::move(settings)),
-      sealer_(settings_.secret, settings_.key_life),
-      asking_(settings_.mode == RetryMode::always) {}
+      sealer_(settings_.secret, settings_.key_lifetime),
+      requires_retry_(settings_.mode == RetryMode::always) {}
 
-AddressValidation::Judged AddressValidation::judge(const Header& initial, const Endpoint& from,
-                                                   std::int64_t now) {
-  if (TokenSealer::ours(initial.token)) {
+AddressValidation::Decision AddressValidation::validate(const Header& initial, const Endpoint& from,
+                                                        std::int64_t now) {
+  if (TokenSealer::has_token_format(initial.token)) {
     // The client will take no second Retry (RFC 9000, 17.2.5.2): what is wrong with a token is final.
     auto token = sealer_.open(initial.token, from, now);
-    bool good = token && token->retry == initial.destination && token->made <= now &&
-                now - token->made <= settings_.token_life && first_use(initial.token, now);
-    if (!good) return {Verdict::refuse, std::nullopt};
-    return {Verdict::take, token};
+    bool good = token && token->retry_id == initial.destination && token->issued_at <= now &&
+                now - token->issued_at <= settings_.token_lifetime && first_use(initial.token, now);
+    if (!good) return {Verdict::reject, std::nullopt};
+    return {Verdict::accept, token};
   }
   // Any other token, say a worker's NEW_TOKEN, proves nothing here and counts as none (RFC 9000, 8.1.3).
   unvalidated_.add(now);
   if (settings_.mode == RetryMode::from_rate) {
     double rate = unvalidated_.rate(now);
     // Half the rate ends it: at the very rate it would switch with every Initial.
-    asking_ = asking_ ? rate > settings_.from_rate / 2 : rate > settings_.from_rate;
+    requires_retry_ = requires_retry_ ? rate > settings_.from_rate / 2 : rate > settings_.from_rate;
   }
-  return {asking_ ? Verdict::ask : Verdict::take, std::nullopt};
+  return {requires_retry_ ? Verdict::send_retry : Verdict::accept, std::nullopt};
 }
 
 bool AddressValidation::first_use(std::string_view token, std::int64_t now) {
-  if (now - used_since_ > settings_.token_life || used_.size() >= settings_.tokens_remembered) {
+  if (now - used_since_ > settings_.token_lifetime || used_.size() >= settings_.max_remembered_tokens) {
     // A set that is full before its time forgets the older half early; until then no token counts twice.
     used_before_ = std::exchange(used_, {});
     used_since_ = now;
@@ -146,7 +146,7 @@
   return !used_before_.contains(nonce) && used_.insert(std::move(nonce)).second;
 }
 
-std::string AddressValidation::retry(const Header& initial, const Endpoint& from, std::int64_t now) {
+std::string AddressValidation::make_retry(const Header& initial, const Endpoint& from, std::int64_t now) {
   std::string source = random_bytes(kRetryId);
   source[0] = static_cast<char>(source[0] | kUnroutableRotation << 5);
   std::string token = sealer_.seal({initial.destination, source, now}, from, now);
--- a/src/quic/validation.h
+++ b/src/quic/validation.h
@@ -19,32 +19,34 @@
 
 struct ValidationSettings {
   RetryMode mode = RetryMode::never;
-  double from_rate = 200;                 // unvalidated Initials a second above which Retry is asked for
-  std::int64_t token_life = 10'000'000;   // microseconds from the Retry to the Initial that carries its token
-  std::int64_t key_life = 3'600'000'000;  // microseconds; keys are derived anew from the secret that often
-  std::string secret = {};                // 16 octets or more, the same at every router; drawn if empty
-  std::size_t tokens_remembered = 65536;  // used ones, so that none counts twice
+  double from_rate = 200;  // unvalidated Initials a second above which Retry is asked for
+  std::int64_t token_lifetime =
+      10'000'000;  // microseconds from the Retry to the Initial that carries its token
+  std::int64_t key_lifetime =
+      3'600'000'000;        // microseconds; keys are derived anew from the secret that often
+  std::string secret = {};  // 16 octets or more, the same at every router; drawn if empty
+  std::size_t max_remembered_tokens = 65536;  // used ones, so that none counts twice
 };
 
 // What a token of ours says of the client that shows it.
 struct RetryToken {
-  ConnectionId original, retry;  // the ids that its first Initial and its Retry carried
-  std::int64_t made = 0;
+  ConnectionId original_id, retry_id;  // the ids that its first Initial and its Retry carried
+  std::int64_t issued_at = 0;
 };
 
 // Seals and opens tokens. The layout: "mhr1", the low octet of the key's epoch, a nonce of 12 octets, then
 // under AES-128-GCM, with the client's address as associated data: time, original id, retry id.
 class TokenSealer {
  public:
-  TokenSealer(std::string secret, std::int64_t key_life);
+  TokenSealer(std::string secret, std::int64_t key_lifetime);
   std::string seal(const RetryToken& token, const Endpoint& client, std::int64_t now);
-  static bool ours(std::string_view token);  // by its shape only
+  static bool has_token_format(std::string_view token);  // by its shape only
   std::optional<RetryToken> open(std::string_view token, const Endpoint& client, std::int64_t now);
 
  private:
   const std::string& key(std::int64_t epoch);
   std::string secret_;
-  std::int64_t key_life_;
+  std::int64_t key_lifetime_;
   std::int64_t epochs_[2] = {-1, -1};
   std::string keys_[2];
 };
@@ -59,18 +61,20 @@
   explicit AddressValidation(ValidationSettings settings);
 
   enum class Verdict {
-    take,    // becomes a call; `token` says whether its address is validated
-    ask,     // answer with a Retry
-    refuse,  // a token of ours that is late, used or another client's: close with INVALID_TOKEN
+    accept,      // becomes a call; `token` says whether its address is validated
+    send_retry,  // answer with a Retry
+    reject,      // a token of ours that is late, used or another client's: close with INVALID_TOKEN
   };
-  struct Judged {
+  struct Decision {
     Verdict verdict;
     std::optional<RetryToken> token;
   };
-  Judged judge(const Header& initial, const Endpoint& from, std::int64_t now);
+  Decision validate(const Header& initial, const Endpoint& from, std::int64_t now);
   // The Retry for this Initial; its source id is drawn, and names no worker.
-  std::string retry(const Header& initial, const Endpoint& from, std::int64_t now);
-  bool asking() const { return asking_; }  // for metrics: whether Retry is asked for at the moment
+  std::string make_retry(const Header& initial, const Endpoint& from, std::int64_t now);
+  bool requires_retry() const {
+    return requires_retry_;
+  }  // for metrics: whether Retry is asked for at the moment
 
  private:
   bool first_use(std::string_view token, std::int64_t now);
@@ -78,7 +82,7 @@
   ValidationSettings settings_;
   TokenSealer sealer_;
   RateMeter unvalidated_;
-  bool asking_ = false;
+  bool requires_retry_ = false;
   // Used tokens of this and the last span of a token's life; a token older than both is late anyway.
   std::unordered_set<std::string> used_, used_before_;
   std::int64_t used_since_ = 0;
--- a/tests/quic/parts.h
+++ b/tests/quic/parts.h
@@ -46,7 +46,7 @@
 // The Retry that a client gets, taken apart as a client would.
 struct Retried {
   Retried(AddressValidation& validation, const Header& initial, const Endpoint& from, std::int64_t now)
-      : packet(validation.retry(initial, from, now)) {
+      : packet(validation.make_retry(initial, from, now)) {
     auto header = parse(packet);
     REQUIRE(header.has_value());
     REQUIRE(header->type == PacketType::retry);
--- a/tests/quic_mutation_test.cpp
+++ b/tests/quic_mutation_test.cpp
@@ -32,7 +32,7 @@
   Header initial;
   initial.destination = "original id";
   initial.version = kVersion1;
-  seeds.push_back(validation.retry(initial, four, 1'700'000'000'000'000));
+  seeds.push_back(validation.make_retry(initial, four, 1'700'000'000'000'000));
   std::size_t sound = 0;
   for (const std::string& seed : seeds) sound += parse(seed).has_value();
   REQUIRE(sound >= seeds.size() - 3);  // the seeds are what they are to be
