--- a/conformance/peers/served_connection.cpp
+++ b/conformance/peers/served_connection.cpp
@@ -93,7 +93,7 @@
 }
 
 void ServedConnection::came_through(const Endpoint& router) {
-  if (router_.known() && !(router_ == router)) worker_.leave(router_, client_, ids[0]);
+  if (router_.is_specified() && !(router_ == router)) worker_.leave(router_, client_, ids[0]);
   router_ = router;
 }
 
--- a/src/quic/datagrams.cpp
+++ b/src/quic/datagrams.cpp
@@ -161,7 +161,7 @@
         if (e.size() < lead.size()) break;
       }
       held[filled] = segments;
-      if (lead.to.known()) {
+      if (lead.to.is_specified()) {
         m.msg_name = &names[filled];
         m.msg_namelen = lead.to.write(names[filled]);
       }
--- a/src/quic/endpoint.h
+++ b/src/quic/endpoint.h
@@ -19,7 +19,7 @@
   // "a.b.c.d:port" or "[ipv6]:port". Names are not looked up.
   static std::optional<Endpoint> parse(std::string_view text);
 
-  bool known() const { return size_ > 0; }
+  bool is_specified() const { return size_ > 0; }
   int family() const { return size_ == 0 ? AF_UNSPEC : size_ == 6 ? AF_INET : AF_INET6; }
   // As the system wants it; returns its length. IPv4 takes the front of what is there.
   socklen_t write(sockaddr_in6& out) const;
--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -128,7 +128,7 @@
   auto attempt = std::make_unique<Attempt>(*this, to);
   front.refresh_workers();
   WorkerTable::Worker* at = front.workers_.named(worker);
-  if (!at || !at->address.known()) {
+  if (!at || !at->address.is_specified()) {
     attempt->fail(Outcome::connect_failed);
     return attempt;
   }
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -36,7 +36,7 @@
       request_class_(dispatcher.class_named(settings_.request_class)),
       descriptors_(descriptors),
       listen_(Endpoint::parse(settings_.listen).value_or(Endpoint())),
-      fd_(listen_.known() ? listening_socket(listen_) : net::Fd()),
+      fd_(listen_.is_specified() ? listening_socket(listen_) : net::Fd()),
       io_(loop, [this](int) { receive(); }),
       sweep_(loop, [this] { sweep(); }),
       to_clients_(listen_.family()),
@@ -74,7 +74,7 @@
                                     "Id configurations that a reload took out and that still route")),
       closed_gauge_(metrics.gauge("marblehub_quic_workers_closed", "Workers whose port was found closed")),
       sockets_gauge_(metrics.gauge("marblehub_quic_sockets", "Descriptors held for sockets to workers")) {
-  if (!listen_.known()) throw ConfigError("quic: listen: expected an address and port");
+  if (!listen_.is_specified()) throw ConfigError("quic: listen: expected an address and port");
   if (request_class_ < 0) throw ConfigError("quic: class: expected one of the settings' classes");
   if (!fd_) throw ConfigError("quic: cannot listen on " + settings_.listen);
   io_.start(fd_.get(), EV_READ);
@@ -100,7 +100,7 @@
   // From here on nothing fails.
   next.listen = settings_.listen;
   next.forwarding = settings_.forwarding;
-  ids_.replace(next.ids, loop_.now(), next.retire);
+  ids_.replace(next.ids, loop_.now(), next.retirement_period);
   // Tokens that are under way must go on counting: only another way or another key begins anew.
   const ValidationSettings &was = settings_.retry, &is = next.retry;
   if (was.mode != is.mode || was.secret != is.secret || was.from_rate != is.from_rate ||
@@ -196,7 +196,7 @@
 
 void Front::new_call(const Header& header, const Datagram& datagram, std::string_view sound,
                      const std::optional<RetryToken>& token) {
-  if (flows_.size() >= settings_.calls) {
+  if (flows_.size() >= settings_.max_calls) {
     full_.add();
     return to_client(datagram.from, connection_close_packet(header, kConnectionRefused, "busy"));
   }
@@ -272,7 +272,7 @@
   }
   // Nothing proves such a packet's address or that it belongs to anything: in a flood none is taken.
   if (bytes.size() < kShortestTuple || !(bytes[0] & 0x40) || closed_ || validation_.requires_retry() ||
-      flows_.size() >= settings_.calls)
+      flows_.size() >= settings_.max_calls)
     return unknown_id_.add();
   auto flow = std::make_shared<Flow>(*this, Header(), datagram.from);
   flow->by_tuple = true;
@@ -375,7 +375,7 @@
   for (auto& [key, flow] : flows_) {
     if (flow->moves_left > 0) flow->ask_to_move();
     bool answered = flow->refused() && now - flow->used > kAnswerKept;
-    bool idle = flow->standing && now - flow->used > settings_.idle;
+    bool idle = flow->standing && now - flow->used > settings_.idle_timeout;
     if (answered || idle || flow->done) over.push_back(flow);
   }
   for (auto& flow : over) {
@@ -383,7 +383,7 @@
       exchange->client_left(Ending::finished);
     remove(*flow);
   }
-  while (oldest_ && now - oldest_->used > settings_.idle) drop_path(*oldest_);
+  while (oldest_ && now - oldest_->used > settings_.idle_timeout) drop_path(*oldest_);
   std::erase_if(early_, [now](const auto& entry) { return now - entry.second.since > kEarlyKept; });
   calls_gauge_.set(static_cast<double>(flows_.size()));
   paths_gauge_.set(static_cast<double>(all_paths_.size()));
--- a/src/quic/settings.cpp
+++ b/src/quic/settings.cpp
@@ -94,9 +94,9 @@
   if (!Endpoint::parse(s.listen)) options.refuse("listen", "a.b.c.d:port or [ipv6]:port");
   s.request_class = options.text("class");
   s.deadline = options.number<marblehub::policy::Time>("deadline_ms", 1) * 1000;
-  s.idle = options.number<marblehub::policy::Time>("idle_ms", 1000) * 1000;
-  s.calls = options.number<std::size_t>("calls", 1);
-  s.paths = options.number<std::size_t>("paths", 1);
+  s.idle_timeout = options.number<marblehub::policy::Time>("idle_ms", 1000) * 1000;
+  s.max_calls = options.number<std::size_t>("calls", 1);
+  s.max_paths = options.number<std::size_t>("paths", 1);
   if (options.find("forwarding"))
     s.forwarding = options.choice<Forwarding>(
         "forwarding", {{"socket", Forwarding::socket}, {"proxy-v2", Forwarding::proxy_v2}});
@@ -110,7 +110,8 @@
         options.refuse(path + "rotation", "one that no other config has");
     s.ids.push_back(std::move(config));
   }
-  s.retire = options.number_or<marblehub::policy::Time>("retire_ms", 1, s.retire / 1000) * 1000;
+  s.retirement_period =
+      options.number_or<marblehub::policy::Time>("retire_ms", 1, s.retirement_period / 1000) * 1000;
   s.retry = retry_at(options, folder);
   s.reset_key = key_at(options, "reset.key", folder);
   if (!s.reset_key.empty() && s.reset_key.size() < 16)
--- a/src/quic/settings.h
+++ b/src/quic/settings.h
@@ -23,12 +23,13 @@
   bool enabled = false;
   std::string listen;
   std::string request_class;
-  marblehub::policy::Time deadline = 0, idle = 0;
-  std::size_t calls = 0, paths = 0;  // the most of each
+  marblehub::policy::Time deadline = 0, idle_timeout = 0;
+  std::size_t max_calls = 0, max_paths = 0;  // the most of each
   Forwarding forwarding = Forwarding::socket;
   std::vector<std::uint32_t> versions = {kVersion1, kVersion2};
   std::vector<IdConfig> ids;
-  marblehub::policy::Time retire = 600'000'000;  // how long a config that a reload takes out still routes
+  marblehub::policy::Time retirement_period =
+      600'000'000;  // how long a config that a reload takes out still routes
   ValidationSettings retry;
   std::string reset_key;  // shared with the workers; empty: no stateless resets
   double resets_per_second = 100;
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -47,7 +47,7 @@
 
 Path* Front::make_path(const Endpoint& client, WorkerTable::Worker& worker) {
   bool needs_descriptor = settings_.forwarding == Forwarding::socket;
-  bool full = all_paths_.size() >= settings_.paths;
+  bool full = all_paths_.size() >= settings_.max_paths;
   if (full || (needs_descriptor && descriptors_.scarce())) {  // the one unused for longest is evicted
     bool made = oldest_ != nullptr;
     if (made) drop_path(*oldest_);
@@ -162,7 +162,7 @@
 // A connection that another router set up, or this one before it started anew, has come here: the core counts
 // it from now on. Both sides have spoken on it, so it is no mere guess at an id.
 void Front::adopt(Path& path) {
-  if (flows_.size() >= settings_.calls) return;
+  if (flows_.size() >= settings_.max_calls) return;
   Header header;
   header.type = PacketType::handshake;
   header.version = kVersion1;
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -62,7 +62,8 @@
   if (!at)
     at = std::make_unique<Upstream>(*this, path.worker,
                                     settings_.forwarding == Forwarding::socket ? &path : nullptr);
-  if (!at->is_open() && (!path.worker.address.known() || !descriptors_.make_one_available() || !at->open()))
+  if (!at->is_open() &&
+      (!path.worker.address.is_specified() || !descriptors_.make_one_available() || !at->open()))
     return nullptr;
   return at.get();
 }
--- a/src/quic/worker_table.cpp
+++ b/src/quic/worker_table.cpp
@@ -66,7 +66,7 @@
     bool given = own != settings.workers.end() && !own->second.address.empty();
     Endpoint address = Endpoint::parse(given ? own->second.address : listed.address).value_or(Endpoint());
     if (!(address == worker->address)) {
-      if (worker->address.known()) moved.push_back(worker);
+      if (worker->address.is_specified()) moved.push_back(worker);
       worker->address = address;
       worker->closed = false;
     }
