--- a/bench/fleet_wallet.cpp
+++ b/bench/fleet_wallet.cpp
@@ -48,9 +48,9 @@
     for (int i = 0; i < n; ++i) {
       Reservation reservation;
       if (wallets.reserve(now, tenants[static_cast<std::size_t>(i) % 200], classes[i % 3], reservation) ==
-          Purse::reserved) {
+          ReserveResult::reserved) {
         ++reserved;
-        wallets.debit(reservation);
+        wallets.commit(reservation);
       }
     }
     double ns = std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - from).count();
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -147,19 +147,20 @@
   if (placing != Placing::plain) verdict.only = workers_.usable(route_of(*routes, now, call), *routes);
   Wallets* wallets = checked("wallet") ? node.wallets() : nullptr;
   Reservation reservation;
-  Purse purse = wallets ? wallets->reserve(now, call.tenant, class_of(call), reservation) : Purse::none;
-  if (purse == Purse::paused) {
+  ReserveResult reserve_result =
+      wallets ? wallets->reserve(now, call.tenant, class_of(call), reservation) : ReserveResult::unmetered;
+  if (reserve_result == ReserveResult::paused) {
     refused_paused_.add();
     return {true, wallets->try_again(now), nullptr};
   }
-  if (purse == Purse::reserved) reserved_.emplace(id, reservation);
+  if (reserve_result == ReserveResult::reserved) reserved_.emplace(id, reservation);
   return verdict;
 }
 
 void Service::stands(std::uint64_t id) {
   auto it = reserved_.find(id);
   if (it == reserved_.end()) return;
-  driver_.node().wallets()->debit(it->second);
+  driver_.node().wallets()->commit(it->second);
   reserved_.erase(it);
 }
 
--- a/src/fleet/wallet/tills.cpp
+++ b/src/fleet/wallet/tills.cpp
@@ -32,16 +32,17 @@
   return it == by_tenant_.end() ? nullptr : &tills_[it->second];
 }
 
-Purse Tills::reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into) {
+ReserveResult Tills::reserve(Time now, std::string_view tenant, std::string_view service_class,
+                             Reservation& into) {
   newest_ = now = std::max(now, newest_);
   auto it = by_tenant_.find(tenant);
   if (it == by_tenant_.end()) {
     refused_ = ~std::size_t{0};
-    return unknown_served_ ? Purse::none : Purse::paused;
+    return unknown_served_ ? ReserveResult::unmetered : ReserveResult::paused;
   }
   auto priced = prices_.find(service_class);
   std::int64_t price = priced == prices_.end() ? 1 : priced->second;
-  if (price == 0) return Purse::none;
+  if (price == 0) return ReserveResult::unmetered;
   Till& till = tills_[it->second];
   till.last_asked = now;
   if (!closed_)
@@ -53,7 +54,7 @@
       till.taken += price;
       till.dear = std::max(till.dear, price);
       into = {it->second, at, price};
-      return Purse::reserved;
+      return ReserveResult::reserved;
     }
   // Retries of a paused tenant say nothing of the rate at which it will spend.
   if (price <= till.most) {
@@ -64,7 +65,7 @@
   till.least = till.least ? std::min(till.least, price) : price;
   refused_ = it->second;
   refused_price_ = price;
-  return Purse::paused;
+  return ReserveResult::paused;
 }
 
 void Tills::take_back(const Reservation& reservation, bool served) {
--- a/src/fleet/wallet/tills.h
+++ b/src/fleet/wallet/tills.h
@@ -65,8 +65,8 @@
   Till& open(const std::string& tenant);  // makes it where there is none; not on a call's way
   const Till* find(std::string_view tenant) const;
 
-  Purse reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into);
-  void debit(const Reservation& reservation) { take_back(reservation, true); }
+  ReserveResult reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into);
+  void commit(const Reservation& reservation) { take_back(reservation, true); }
   void release(const Reservation& reservation) { take_back(reservation, false); }
 
   std::vector<Till>& all() { return tills_; }
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -48,7 +48,7 @@
   load() = 0;  // throws with file and offset where a line is flipped; a torn last one ends it
 };
 
-enum class Purse { none, reserved, paused };  // none: no wallet's affair, serve it
+enum class ReserveResult { unmetered, reserved, paused };  // unmetered: no wallet's affair, serve it
 struct Reservation {
   std::uint32_t wallet = 0;
   std::uint32_t slice = 0;
@@ -70,8 +70,8 @@
           std::uint64_t seed, Time now);
 
   // On a call's way: never waits, never allocates. Reserved before the attempt, then exactly one of the two.
-  Purse reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into);
-  void debit(const Reservation& reservation);    // at UP
+  ReserveResult reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into);
+  void commit(const Reservation& reservation);   // at UP
   void release(const Reservation& reservation);  // no UP came
 
   // After anything that may have changed the record, and at next_due: takes slices, gives back, offers
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -179,10 +179,11 @@
 
 void Wallets::Release::operator()(State* state) const { delete state; }
 
-Purse Wallets::reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into) {
+ReserveResult Wallets::reserve(Time now, std::string_view tenant, std::string_view service_class,
+                               Reservation& into) {
   return state_->tills.reserve(now, tenant, service_class, into);
 }
-void Wallets::debit(const Reservation& reservation) { state_->tills.debit(reservation); }
+void Wallets::commit(const Reservation& reservation) { state_->tills.commit(reservation); }
 void Wallets::release(const Reservation& reservation) { state_->tills.release(reservation); }
 
 void Wallets::step(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out) {
--- a/tests/fleet/random/world.h
+++ b/tests/fleet/random/world.h
@@ -178,7 +178,8 @@
                       std::to_string((now - from) / 1000) + " ms after one by " + std::to_string(newer));
     }
     Reservation reservation;
-    if (one.node->wallets()->reserve(clock(one), "acme", "ride", reservation) != Purse::reserved) return;
+    if (one.node->wallets()->reserve(clock(one), "acme", "ride", reservation) != ReserveResult::reserved)
+      return;
     attempts.push_back(
         {now + between(1, 40 * kMillisecond), one.settings.name, one.incarnation, reservation, odds(0.8)});
   }
@@ -193,7 +194,7 @@
     for (const Attempt& a : answers) {
       One& one = members.at(a.member);
       if (!awake(one) || one.incarnation != a.incarnation) continue;
-      a.up ? one.node->wallets()->debit(a.reservation) : one.node->wallets()->release(a.reservation);
+      a.up ? one.node->wallets()->commit(a.reservation) : one.node->wallets()->release(a.reservation);
     }
     std::erase_if(answers, [&](const Attempt& a) {
       const One& one = members.at(a.member);
--- a/tests/fleet/wallet/on_record_test.cpp
+++ b/tests/fleet/wallet/on_record_test.cpp
@@ -26,8 +26,8 @@
         cluster.post(name, out);
         if (cluster.chance() >= share) continue;
         Reservation call;
-        if (own->reserve(cluster.now, "partner", "", call) != Purse::reserved) continue;
-        own->debit(call);
+        if (own->reserve(cluster.now, "partner", "", call) != ReserveResult::reserved) continue;
+        own->commit(call);
         ++served;
         last = cluster.now;
         first.try_emplace(name, cluster.now);
--- a/tests/fleet/wallet/wallet_fleet.h
+++ b/tests/fleet/wallet/wallet_fleet.h
@@ -97,21 +97,22 @@
   }
 
   // One call at a holder; true where it was reserved. It ends within `longest`.
-  Purse call(std::size_t at, std::string_view service_class, Time longest = 20 * kMillisecond,
-             double served = 0.9) {
+  ReserveResult call(std::size_t at, std::string_view service_class, Time longest = 20 * kMillisecond,
+                     double served = 0.9) {
     Holder& h = holders[at];
-    if (!h.wallets || now < h.asleep_until) return Purse::none;
+    if (!h.wallets || now < h.asleep_until) return ReserveResult::unmetered;
     Call call;
-    Purse purse = h.wallets->reserve(now + h.offset, "partner", service_class, call.reservation);
-    if (purse == Purse::reserved) {
+    ReserveResult reserve_result =
+        h.wallets->reserve(now + h.offset, "partner", service_class, call.reservation);
+    if (reserve_result == ReserveResult::reserved) {
       ++h.reserved;
       call.ends = now + chance.below(longest + 1);
       call.serves = chance.in(served);
       h.calls.push_back(call);
     } else {
-      h.paused += purse == Purse::paused;
+      h.paused += reserve_result == ReserveResult::paused;
     }
-    return purse;
+    return reserve_result;
   }
 
   void turn() {
@@ -127,7 +128,7 @@
           continue;
         }
         if (h.calls[i].serves) {
-          h.wallets->debit(h.calls[i].reservation);
+          h.wallets->commit(h.calls[i].reservation);
           served += h.calls[i].reservation.price;
         } else {
           h.wallets->release(h.calls[i].reservation);
--- a/tests/fleet/wallet/wallets_test.cpp
+++ b/tests/fleet/wallet/wallets_test.cpp
@@ -94,7 +94,7 @@
     while (fleet.now < until && (last == 0 || fleet.now - last < 2 * kSecond)) {
       bool any = false;
       for (std::size_t at = 0; at < 9; ++at)
-        if (fleet.chance.in(0.5)) any |= fleet.call(at, "", 0, 1) == Purse::reserved;
+        if (fleet.chance.in(0.5)) any |= fleet.call(at, "", 0, 1) == ReserveResult::reserved;
       fleet.turn();
       if (any || last == 0) last = fleet.now;
       if (fleet.now - last >= kSecond) CHECK(all_paused(fleet));
@@ -107,7 +107,7 @@
     std::vector<Time> resumed(9, 0);
     while (fleet.now < from + kSecond) {
       for (std::size_t at = 0; at < 9; ++at)
-        if (fleet.chance.in(0.05) && fleet.call(at, "", 0, 1) == Purse::reserved && !resumed[at])
+        if (fleet.chance.in(0.05) && fleet.call(at, "", 0, 1) == ReserveResult::reserved && !resumed[at])
           resumed[at] = fleet.now;
       fleet.turn();
     }
@@ -130,7 +130,7 @@
   std::set<Time> told;
   Reservation none;
   for (int i = 0; i < 100; ++i) {
-    REQUIRE(fleet.holders[0].wallets->reserve(fleet.now, "partner", "", none) == Purse::paused);
+    REQUIRE(fleet.holders[0].wallets->reserve(fleet.now, "partner", "", none) == ReserveResult::paused);
     Time again = fleet.holders[0].wallets->try_again(fleet.now);
     CHECK(again >= fleet.settings.pause / 2);
     CHECK(again <= fleet.settings.pause);
@@ -143,14 +143,14 @@
   WalletFleet fleet(3, partner(10), 3, false);
   fleet.run(kSecond);
   Reservation none;
-  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "stranger", "", none) == Purse::none);
-  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "", "", none) == Purse::none);
+  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "stranger", "", none) == ReserveResult::unmetered);
+  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "", "", none) == ReserveResult::unmetered);
   WalletSettings refusing = partner(10);
   refusing.unknown_served = false;
   refusing.prices["free"] = 0;
   fleet.holders[0].wallets->follow(refusing);
-  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "stranger", "", none) == Purse::paused);
-  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "partner", "free", none) == Purse::none);
+  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "stranger", "", none) == ReserveResult::paused);
+  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "partner", "free", none) == ReserveResult::unmetered);
 }
 
 TEST_CASE("A process that slept across its slice's term spends nothing more of it", "[wallet]") {
@@ -163,14 +163,14 @@
   for (const auto& [id, slice] : fleet.wallet().out)
     if (slice.holder == h.name) last = std::max(last, slice.until - WalletFleet::kBound);
   for (Time at : {fleet.now + h.offset, last - 1}) {
-    REQUIRE(h.wallets->reserve(at, "partner", "", call) == Purse::reserved);
+    REQUIRE(h.wallets->reserve(at, "partner", "", call) == ReserveResult::reserved);
     h.wallets->release(call);
   }
-  CHECK(h.wallets->reserve(last, "partner", "", call) == Purse::paused);
+  CHECK(h.wallets->reserve(last, "partner", "", call) == ReserveResult::paused);
   // Nothing was stepped since: the call alone judges, by the clock.
-  CHECK(h.wallets->reserve(fleet.now + h.offset + 2 * kSecond, "partner", "", call) == Purse::paused);
+  CHECK(h.wallets->reserve(fleet.now + h.offset + 2 * kSecond, "partner", "", call) == ReserveResult::paused);
   // Nor does a clock that steps back make it longer.
-  CHECK(h.wallets->reserve(fleet.now + h.offset, "partner", "", call) == Purse::paused);
+  CHECK(h.wallets->reserve(fleet.now + h.offset, "partner", "", call) == ReserveResult::paused);
 }
 
 TEST_CASE("A balancer cut off spends its slice, then pauses; a deposit then is taken after the heal",
@@ -187,7 +187,7 @@
   CHECK(fleet.holders[4].reserved - before <= fleet.settings.held_back_most);
   CHECK(fleet.holders[4].reserved > before);
   CHECK(fleet.paid() == 3000);
-  CHECK(fleet.call(4, "") == Purse::paused);
+  CHECK(fleet.call(4, "") == ReserveResult::paused);
   fleet.holders[4].cut = false;
   fleet.run(kSecond);
   CHECK(fleet.paid() == 4000);
@@ -228,7 +228,7 @@
   Outbox out;
   for (WalletFleet::Holder& h : fleet.holders) h.wallets->settle(fleet.now + h.offset, h, out);
   Reservation none;
-  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "partner", "", none) == Purse::paused);
+  CHECK(fleet.holders[0].wallets->reserve(fleet.now, "partner", "", none) == ReserveResult::paused);
   fleet.run(kSecond);
   CHECK(fleet.wallet().out.empty());
   CHECK(fleet.wallet().held_back.empty());
