--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -37,7 +37,7 @@
 }
 
 void Node::leave(Time now, Outbox& out) {
-  if (wallets_) wallets_->settle(now, *record_, out);  // first: what it returns is still this member's
+  if (wallets_) wallets_->return_all(now, *record_, out);  // first: what it returns is still this member's
   view_->leave(now, out);
   settle(now, out);
 }
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -115,20 +115,20 @@
 void Service::check(const Files& next) {
   const Record& record = driver_.node().record();
   if (Routes* routes = followed_routes(next)) routes->check(next.routes, record);
-  if (followed_wallets(next)) check_against(*next.wallet, record.ledger(), settings_.wallet_file + ": ");
+  if (followed_wallets(next)) check_deposits(*next.wallet, record.ledger(), settings_.wallet_file + ": ");
 }
 
 std::vector<std::string> Service::follow(Files next) {
   driver_.with([&](Node& node, Time now, Outbox& out) {
     if (Routes* routes = followed_routes(next)) routes->offer(now, next.routes, node.record(), out);
-    if (Wallets* wallets = followed_wallets(next)) wallets->follow(std::move(*next.wallet));
+    if (Wallets* wallets = followed_wallets(next)) wallets->update_settings(std::move(*next.wallet));
   });
   return config::needs_restart(values_, next.values);
 }
 
 void Service::settle() {
   driver_.with([](Node& node, Time now, Outbox& out) {
-    if (node.wallets()) node.wallets()->settle(now, node.record(), out);
+    if (node.wallets()) node.wallets()->return_all(now, node.record(), out);
   });
 }
 
@@ -151,7 +151,7 @@
       wallets ? wallets->reserve(now, call.tenant, class_of(call), reservation) : ReserveResult::unmetered;
   if (reserve_result == ReserveResult::paused) {
     refused_paused_.add();
-    return {true, wallets->try_again(now), nullptr};
+    return {true, wallets->retry_after(now), nullptr};
   }
   if (reserve_result == ReserveResult::reserved) reserved_.emplace(id, reservation);
   return verdict;
@@ -247,7 +247,7 @@
   }
   paused_.set(static_cast<double>(paused_tenants_.size()));
   held_back_.set(held_back);
-  if (const std::string& why = wallets.refused(); why != deposits_refused_) {
+  if (const std::string& why = wallets.deposit_error(); why != deposits_refused_) {
     deposits_refused_ = why;
     if (!why.empty()) log::warning("fleet: deposits of the file are not offered: {}", why);
   }
--- a/src/fleet/wallet/settings.cpp
+++ b/src/fleet/wallet/settings.cpp
@@ -80,7 +80,7 @@
   return s;
 }
 
-void check_against(const WalletSettings& settings, const Ledger& ledger, const std::string& place) {
+void check_deposits(const WalletSettings& settings, const Ledger& ledger, const std::string& place) {
   for (const auto& [tenant, deposits] : settings.deposits) {
     auto it = ledger.wallets.find(tenant);
     if (it == ledger.wallets.end()) continue;
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -28,7 +28,7 @@
                                     const std::vector<std::string>& classes = {});
 // Throws config::DecodeError where a wallet's deposits in the file come to less than is spent, held back or
 // in slices: what was served cannot be taken back. Before `follow`; `place` is the file and ": ".
-void check_against(const WalletSettings& settings, const Ledger& ledger, const std::string& place);
+void check_deposits(const WalletSettings& settings, const Ledger& ledger, const std::string& place);
 
 // What a balancer may have spent of its slices, on its own disk if it has one, so that little is held back
 // after a crash. A line is written ahead: it says what is spent at most until the next line of that slice
@@ -79,18 +79,18 @@
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
   void step(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out);
   // At SIGTERM: all unspent goes back, at once or, where a call is under way, at the steps that follow it.
-  void settle(Time now, Record& record, Outbox& out);
-  void settle(Time now, Book& book, Outbox& out);
-  bool settled() const;                  // nothing is out here any more
-  void follow(WalletSettings settings);  // SIGHUP; a balance below what is spent is refused before
+  void return_all(Time now, Record& record, Outbox& out);
+  void return_all(Time now, Book& book, Outbox& out);
+  bool all_returned() const;                      // nothing is out here any more
+  void update_settings(WalletSettings settings);  // SIGHUP; a balance below what is spent is refused before
   Time next_due() const;
 
   bool paused(std::string_view tenant) const;  // nothing to spend here and none to be had
   // When the call that reserve refused last may come again, as a duration: spread over half to all of `pause`
   // where the balance is out, over an eighth to a quarter of it where a slice is on its way.
-  Time try_again(Time now);
+  Time retry_after(Time now);
   // Why deposits of the file are not offered to the record (check_against, at start); empty: all are.
-  const std::string& refused() const;
+  const std::string& deposit_error() const;
   struct Sums {
     std::int64_t paid = 0, balance = 0, out = 0, spent = 0, held_back = 0, spent_here = 0;
   };
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -28,10 +28,10 @@
         chance(seed ^ 0x9e3779b97f4a7c15) {
     if (journal)
       for (Journal::Line& line : journal->load()) found[{line.wallet, line.slice}] = line.spent;
-    follow();
+    apply_settings();
   }
 
-  void follow() {
+  void apply_settings() {
     tills.prices(settings);
     for (const auto& [tenant, deposits] : settings.deposits) tills.open(tenant);
     offers_at.reset();
@@ -57,7 +57,7 @@
   std::map<std::pair<std::string, std::string>, std::int64_t> found;  // the journal's lines, not yet told
   std::set<std::pair<std::string, std::string>> offered, lapsing;
   std::optional<Time> offers_at;
-  std::string refused;
+  std::string deposit_error;
   std::uint64_t applied = 0;
   Time due = 0, stepped = -kSecond;
   bool settling = false;
@@ -110,10 +110,10 @@
   }
   if (all) return;
   try {
-    check_against(settings, ledger, "");
-    refused.clear();
+    check_deposits(settings, ledger, "");
+    deposit_error.clear();
   } catch (const config::DecodeError& error) {
-    refused = error.what();
+    deposit_error = error.what();
     return;
   }
   for (const auto& [tenant, deposits] : settings.deposits) {
@@ -190,7 +190,7 @@
   state_->step(now, book, alive, out);
 }
 
-void Wallets::settle(Time now, Book& book, Outbox& out) {
+void Wallets::return_all(Time now, Book& book, Outbox& out) {
   state_->settling = true;
   state_->tills.close();
   for (Till& till : state_->tills.all()) state_->slices.close_all(till);
@@ -198,16 +198,16 @@
   state_->step(now, book, {}, out);
 }
 
-bool Wallets::settled() const {
+bool Wallets::all_returned() const {
   auto empty = [](const Held& held) { return held.stage == Stage::empty; };
   return std::all_of(state_->tills.all().begin(), state_->tills.all().end(), [&](const Till& till) {
     return std::all_of(till.held.begin(), till.held.end(), empty);
   });
 }
 
-void Wallets::follow(WalletSettings settings) {
+void Wallets::update_settings(WalletSettings settings) {
   state_->settings = std::move(settings);
-  state_->follow();
+  state_->apply_settings();
 }
 
 Time Wallets::next_due() const { return state_->due; }
@@ -217,12 +217,12 @@
   return till && till->out && till->left(state_->stepped) == 0;
 }
 
-Time Wallets::try_again(Time) {
+Time Wallets::retry_after(Time) {
   Time pause = state_->settings.pause;
   return state_->tills.hope() ? state_->spread(pause / 8, pause / 4) : state_->spread(pause / 2, pause);
 }
 
-const std::string& Wallets::refused() const { return state_->refused; }
+const std::string& Wallets::deposit_error() const { return state_->deposit_error; }
 
 Wallets::Sums Wallets::sums(std::string_view tenant) const {
   const Till* till = state_->tills.find(tenant);
--- a/src/fleet/wallet/wallets_record.cpp
+++ b/src/fleet/wallet/wallets_record.cpp
@@ -22,9 +22,9 @@
   step(now, book, alive, out);
 }
 
-void Wallets::settle(Time now, Record& record, Outbox& out) {
+void Wallets::return_all(Time now, Record& record, Outbox& out) {
   OfRecord book(record);
-  settle(now, book, out);
+  return_all(now, book, out);
 }
 
 }  // namespace marblehub::fleet
--- a/tests/fleet/random/world.h
+++ b/tests/fleet/random/world.h
@@ -112,7 +112,7 @@
     wallet.deposits["acme"]["d" + std::to_string(wallet.deposits["acme"].size() + 1)] = amount;
     paid += amount;
     for (auto& [name, one] : members)
-      if (one.node) one.node->wallets()->follow(wallet);
+      if (one.node) one.node->wallets()->update_settings(wallet);
   }
   void offer(One& one) {
     if (!awake(one)) return;
--- a/tests/fleet/wallet/on_record_test.cpp
+++ b/tests/fleet/wallet/on_record_test.cpp
@@ -57,7 +57,7 @@
     nine.cluster.crash(nine.cluster.leader());
     nine.run(3 * kSecond, 0.1);
     settings.deposits["partner"]["second"] = 2000;
-    nine.wallets["o2"]->follow(settings);
+    nine.wallets["o2"]->update_settings(settings);
     nine.first.clear();
     Time from = nine.cluster.now;
     nine.run(kSecond, 0.1);
--- a/tests/fleet/wallet/random_test.cpp
+++ b/tests/fleet/wallet/random_test.cpp
@@ -35,7 +35,7 @@
     case 6: {
       WalletSettings more = fleet.settings;
       more.deposits["partner"][fmt::format("d{}", fleet.chance.below(4))] = 100;
-      if (h.wallets) h.wallets->follow(more);
+      if (h.wallets) h.wallets->update_settings(more);
       break;
     }
     case 7:
--- a/tests/fleet/wallet/wallets_test.cpp
+++ b/tests/fleet/wallet/wallets_test.cpp
@@ -102,7 +102,7 @@
     CHECK(fleet.served >= 1980);
     WalletSettings more = partner(2000);
     more.deposits["partner"]["second"] = 5000;
-    fleet.holders[3].wallets->follow(more);
+    fleet.holders[3].wallets->update_settings(more);
     Time from = fleet.now;
     std::vector<Time> resumed(9, 0);
     while (fleet.now < from + kSecond) {
@@ -131,7 +131,7 @@
   Reservation none;
   for (int i = 0; i < 100; ++i) {
     REQUIRE(fleet.holders[0].wallets->reserve(fleet.now, "partner", "", none) == ReserveResult::paused);
-    Time again = fleet.holders[0].wallets->try_again(fleet.now);
+    Time again = fleet.holders[0].wallets->retry_after(fleet.now);
     CHECK(again >= fleet.settings.pause / 2);
     CHECK(again <= fleet.settings.pause);
     told.insert(again);
@@ -148,7 +148,7 @@
   WalletSettings refusing = partner(10);
   refusing.unknown_served = false;
   refusing.prices["free"] = 0;
-  fleet.holders[0].wallets->follow(refusing);
+  fleet.holders[0].wallets->update_settings(refusing);
   CHECK(fleet.holders[0].wallets->reserve(fleet.now, "stranger", "", none) == ReserveResult::paused);
   CHECK(fleet.holders[0].wallets->reserve(fleet.now, "partner", "free", none) == ReserveResult::unmetered);
 }
@@ -181,7 +181,7 @@
   fleet.holders[4].cut = true;
   WalletSettings more = partner(3000);
   more.deposits["partner"]["second"] = 1000;
-  fleet.holders[4].wallets->follow(more);
+  fleet.holders[4].wallets->update_settings(more);
   std::int64_t before = fleet.holders[4].reserved;
   spend(fleet, {100}, 4 * kSecond);
   CHECK(fleet.holders[4].reserved - before <= fleet.settings.held_back_most);
@@ -226,14 +226,14 @@
   fleet.run(kSecond);
   spend(fleet, {50}, 2 * kSecond);
   Outbox out;
-  for (WalletFleet::Holder& h : fleet.holders) h.wallets->settle(fleet.now + h.offset, h, out);
+  for (WalletFleet::Holder& h : fleet.holders) h.wallets->return_all(fleet.now + h.offset, h, out);
   Reservation none;
   CHECK(fleet.holders[0].wallets->reserve(fleet.now, "partner", "", none) == ReserveResult::paused);
   fleet.run(kSecond);
   CHECK(fleet.wallet().out.empty());
   CHECK(fleet.wallet().held_back.empty());
   CHECK(fleet.wallet().spent == fleet.served);
-  for (WalletFleet::Holder& h : fleet.holders) CHECK(h.wallets->settled());
+  for (WalletFleet::Holder& h : fleet.holders) CHECK(h.wallets->all_returned());
 }
 
 TEST_CASE("A file whose deposits are less than is spent is refused, at start and before it is followed",
@@ -243,16 +243,16 @@
   spend(fleet, {200}, 2 * kSecond);
   REQUIRE(fleet.served > 500);
   CHECK_THROWS_WITH(
-      check_against(partner(400), fleet.agreed, "wallet.json: "),
+      check_deposits(partner(400), fleet.agreed, "wallet.json: "),
       Catch::Matchers::StartsWith("wallet.json: setting deposits of partner: expected a sum of"));
-  CHECK_NOTHROW(check_against(partner(1000), fleet.agreed, "wallet.json: "));
+  CHECK_NOTHROW(check_deposits(partner(1000), fleet.agreed, "wallet.json: "));
   WalletSettings less = partner(0);
   less.deposits["partner"] = {{"other", 100}};
   fleet.settings = less;
   fleet.kill(1);
   fleet.start(1);
   fleet.run(kSecond);
-  CHECK_FALSE(fleet.holders[1].wallets->refused().empty());
+  CHECK_FALSE(fleet.holders[1].wallets->deposit_error().empty());
   CHECK(fleet.paid() == 1000);
 }
 
