--- a/bench/fleet_wallet.cpp
+++ b/bench/fleet_wallet.cpp
@@ -13,9 +13,9 @@
 
 using namespace marblehub::fleet;
 
-struct Alone : Book {  // a record of one, that agrees at once
+struct Alone : RecordInterface {  // a record of one, that agrees at once
   const Ledger& ledger() const override { return all; }
-  bool leads() const override { return true; }
+  bool is_leader() const override { return true; }
   std::uint64_t propose(Time, Body body, Outbox&) override {
     apply(all, all.applied + 1, {{"b1", 1, ++number}, std::move(body)});
     return number;
--- a/src/fleet/wallet/file_journal.cpp
+++ b/src/fleet/wallet/file_journal.cpp
@@ -127,7 +127,7 @@
 
 std::vector<Journal::Line> FileJournal::load() { return before_; }
 
-std::uint64_t FileJournal::lasting() const {
+std::uint64_t FileJournal::durable_lines() const {
   std::lock_guard hold(mutex_);
   return lasting_;
 }
--- a/src/fleet/wallet/file_journal.h
+++ b/src/fleet/wallet/file_journal.h
@@ -25,7 +25,7 @@
 
   void append(const Line& line) override;
   std::vector<Line> load() override;  // of the processes before this one, the oldest slice first
-  std::uint64_t lasting() const override;
+  std::uint64_t durable_lines() const override;
   bool failing() const;  // the disk is full or gone; it is tried again with the next line
 
  private:
--- a/src/fleet/wallet/slices.cpp
+++ b/src/fleet/wallet/slices.cpp
@@ -33,8 +33,8 @@
 Slices::Slices(Terms terms, Journal* journal, std::uint64_t seed)
     : terms_(std::move(terms)), journal_(journal), chance_(seed) {}
 
-void Slices::step(Time now, Till& till, const WalletSettings& settings, Book& book, std::size_t members,
-                  bool floats, std::int64_t dearest, Outbox& out) {
+void Slices::step(Time now, Till& till, const WalletSettings& settings, RecordInterface& book,
+                  std::size_t members, bool floats, std::int64_t dearest, Outbox& out) {
   Plan& plan = plans_[till.tenant];
   const Ledger& ledger = book.ledger();
   auto it = ledger.wallets.find(till.tenant);
@@ -145,14 +145,14 @@
 // A line lasts before what it allows is spent, so the next is written while a step of the last is unspent.
 void Slices::write_ahead(Time now, Till& till, const Plan& plan) {
   if (!journal_) return;
-  if (journal_->lasting() >= lines_)
+  if (journal_->durable_lines() >= lines_)
     waiting_since_.reset();
   else if (!waiting_since_)
     waiting_since_ = now;
   std::int64_t ready = 0;  // what may be spent at once, this slice and those before it
   for (std::uint32_t at : till.open) {
     Held& held = till.held[at];
-    bool lasts = held.claimed && journal_->lasting() >= held.line;
+    bool lasts = held.claimed && journal_->durable_lines() >= held.line;
     if (lasts) held.allowed = held.claimed;
     ready += held.left(now);
     if (!lasts) continue;
@@ -203,7 +203,7 @@
   });
 }
 
-void Slices::send_back(Time now, Till& till, Book& book, Outbox& out) {
+void Slices::send_back(Time now, Till& till, RecordInterface& book, Outbox& out) {
   for (Held& held : till.held) {
     if ((held.stage != Stage::closing && held.stage != Stage::lapsed) || held.reserved) continue;
     if (journal_ && held.spent < held.amount) append(till, held, held.spent);
@@ -216,7 +216,7 @@
   }
 }
 
-void Slices::take(Time now, Till& till, Plan& plan, const WalletSettings& settings, Book& book,
+void Slices::take(Time now, Till& till, Plan& plan, const WalletSettings& settings, RecordInterface& book,
                   std::size_t members, bool floats, std::int64_t dearest, Outbox& out) {
   std::int64_t balance = till.sums.balance;
   till.out = balance < std::max<std::int64_t>(1, till.least);
--- a/src/fleet/wallet/slices.h
+++ b/src/fleet/wallet/slices.h
@@ -24,7 +24,7 @@
 
   // One wallet's turn. `members`: balancers that are there; `floats`: a small slice is held even where no
   // call came lately, so that the first one finds it.
-  void step(Time now, Till& till, const WalletSettings& settings, Book& book, std::size_t members,
+  void step(Time now, Till& till, const WalletSettings& settings, RecordInterface& book, std::size_t members,
             bool floats, std::int64_t dearest, Outbox& out);
   void close_all(Till& till);  // nothing is taken any more, all unspent goes back
   bool busy(const Till& till, Time now) const;
@@ -45,9 +45,9 @@
   void write_ahead(Time now, Till& till, const Plan& plan);
   void close_what_ended(Time now, Till& till, std::int64_t held_back_most);
   void give_back(Time now, Till& till, const Plan& plan, std::size_t members, std::int64_t dearest);
-  void send_back(Time now, Till& till, Book& book, Outbox& out);
-  void take(Time now, Till& till, Plan& plan, const WalletSettings& settings, Book& book, std::size_t members,
-            bool floats, std::int64_t dearest, Outbox& out);
+  void send_back(Time now, Till& till, RecordInterface& book, Outbox& out);
+  void take(Time now, Till& till, Plan& plan, const WalletSettings& settings, RecordInterface& book,
+            std::size_t members, bool floats, std::int64_t dearest, Outbox& out);
   void append(const Till& till, Held& held, std::int64_t spent);
   bool disk_lags(Time now) const;
   static void list_open(Till& till);
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -43,7 +43,7 @@
   virtual void append(const Line& line) = 0;
   // How many of the lines appended by this process last on the disk, oldest first; all of them where nothing
   // else is known.
-  virtual std::uint64_t lasting() const { return ~std::uint64_t{0}; }
+  virtual std::uint64_t durable_lines() const { return ~std::uint64_t{0}; }
   virtual std::vector<Line>
   load() = 0;  // throws with file and offset where a line is flipped; a torn last one ends it
 };
@@ -56,11 +56,11 @@
 };
 
 // The seam to the record: what Wallets needs of it, so that tests can agree on commands in their own way.
-class Book {
+class RecordInterface {
  public:
-  virtual ~Book() = default;
+  virtual ~RecordInterface() = default;
   virtual const Ledger& ledger() const = 0;
-  virtual bool leads() const = 0;
+  virtual bool is_leader() const = 0;
   virtual std::uint64_t propose(Time now, Body body, Outbox& out) = 0;
 };
 
@@ -77,10 +77,10 @@
   // After anything that may have changed the record, and at next_due: takes slices, gives back, offers
   // deposits, lapses slices of the gone (leader only). `alive`: the view.
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
-  void step(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out);
+  void step(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out);
   // At SIGTERM: all unspent goes back, at once or, where a call is under way, at the steps that follow it.
   void return_all(Time now, Record& record, Outbox& out);
-  void return_all(Time now, Book& book, Outbox& out);
+  void return_all(Time now, RecordInterface& book, Outbox& out);
   bool all_returned() const;                      // nothing is out here any more
   void update_settings(WalletSettings settings);  // SIGHUP; a balance below what is spent is refused before
   Time next_due() const;
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -42,10 +42,10 @@
     return from + static_cast<Time>(chance() % static_cast<std::uint64_t>(to - from + 1));
   }
 
-  void step(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out);
-  void offer(Time now, Book& book, std::size_t members, Outbox& out);
-  void lapse(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out);
-  void tell_found(Time now, Book& book, Outbox& out);
+  void step(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out);
+  void offer(Time now, RecordInterface& book, std::size_t members, Outbox& out);
+  void lapse(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out);
+  void tell_found(Time now, RecordInterface& book, Outbox& out);
 
   WalletSettings settings;
   std::string name;
@@ -63,7 +63,8 @@
   bool settling = false;
 };
 
-void Wallets::State::step(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out) {
+void Wallets::State::step(Time now, RecordInterface& book, const std::vector<std::string>& alive,
+                          Outbox& out) {
   const Ledger& ledger = book.ledger();
   if (now < due && now >= stepped) {
     if (ledger.applied == applied) return;
@@ -84,7 +85,7 @@
   }
   if (!settling) offer(now, book, members, out);
   // At SIGTERM no view is handed in; who is gone is the next leader's to say.
-  if (book.leads() && !alive.empty())
+  if (book.is_leader() && !alive.empty())
     lapse(now, book, alive, out);
   else
     lapsing.clear();
@@ -94,7 +95,7 @@
 }
 
 // Every balancer has the file, so chance decides who is first; the others see it applied before their turn.
-void Wallets::State::offer(Time now, Book& book, std::size_t members, Outbox& out) {
+void Wallets::State::offer(Time now, RecordInterface& book, std::size_t members, Outbox& out) {
   const Ledger& ledger = book.ledger();
   if (!offers_at) {
     Time most = std::min<Time>(300 * kMillisecond, static_cast<Time>(members) * kOfferSpread);
@@ -126,7 +127,8 @@
 }
 
 // The leader's: what is over by everybody's clock and whose holder is gone, began anew, or is long silent.
-void Wallets::State::lapse(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out) {
+void Wallets::State::lapse(Time now, RecordInterface& book, const std::vector<std::string>& alive,
+                           Outbox& out) {
   const Ledger& ledger = book.ledger();
   std::set<std::string> there(alive.begin(), alive.end());
   std::set<std::pair<std::string, std::string>> still;
@@ -144,7 +146,7 @@
 }
 
 // What the process before this one wrote of its slices, once the record counts them as lapsed.
-void Wallets::State::tell_found(Time now, Book& book, Outbox& out) {
+void Wallets::State::tell_found(Time now, RecordInterface& book, Outbox& out) {
   const Ledger& ledger = book.ledger();
   // Once one of this process's commands is applied, no slice of the one before can still come to light.
   auto last = ledger.last.find(name);
@@ -186,11 +188,11 @@
 void Wallets::commit(const Reservation& reservation) { state_->tills.commit(reservation); }
 void Wallets::release(const Reservation& reservation) { state_->tills.release(reservation); }
 
-void Wallets::step(Time now, Book& book, const std::vector<std::string>& alive, Outbox& out) {
+void Wallets::step(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out) {
   state_->step(now, book, alive, out);
 }
 
-void Wallets::return_all(Time now, Book& book, Outbox& out) {
+void Wallets::return_all(Time now, RecordInterface& book, Outbox& out) {
   state_->settling = true;
   state_->tills.close();
   for (Till& till : state_->tills.all()) state_->slices.close_all(till);
--- a/src/fleet/wallet/wallets_record.cpp
+++ b/src/fleet/wallet/wallets_record.cpp
@@ -5,10 +5,10 @@
 namespace marblehub::fleet {
 namespace {
 
-struct OfRecord : Book {
-  explicit OfRecord(Record& record) : record(record) {}
+struct RecordAdapter : RecordInterface {
+  explicit RecordAdapter(Record& record) : record(record) {}
   const Ledger& ledger() const override { return record.ledger(); }
-  bool leads() const override { return record.role() == Role::leader; }
+  bool is_leader() const override { return record.role() == Role::leader; }
   std::uint64_t propose(Time now, Body body, Outbox& out) override {
     return record.propose(now, std::move(body), out);
   }
@@ -18,12 +18,12 @@
 }  // namespace
 
 void Wallets::step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
-  OfRecord book(record);
+  RecordAdapter book(record);
   step(now, book, alive, out);
 }
 
 void Wallets::return_all(Time now, Record& record, Outbox& out) {
-  OfRecord book(record);
+  RecordAdapter book(record);
   return_all(now, book, out);
 }
 
--- a/tests/fleet/wallet/journal_test.cpp
+++ b/tests/fleet/wallet/journal_test.cpp
@@ -38,9 +38,9 @@
     journal.append({"a partner", "b1/1/1", 10});
     journal.append({"50% \n", "b1/1/2", 3});
     journal.append({"a partner", "b1/1/1", 20});
-    for (int i = 0; i < 500 && journal.lasting() < 3; ++i)
+    for (int i = 0; i < 500 && journal.durable_lines() < 3; ++i)
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    CHECK(journal.lasting() == 3);
+    CHECK(journal.durable_lines() == 3);
     CHECK_THROWS_WITH(FileJournal(folder.file()), Catch::Matchers::EndsWith("in use by another process"));
   }
   FileJournal again(folder.file());
@@ -49,7 +49,7 @@
   CHECK(lines[0].wallet == "a partner");
   CHECK(lines[0].spent == 20);
   CHECK(lines[1].wallet == "50% \n");
-  CHECK(again.lasting() == 0);
+  CHECK(again.durable_lines() == 0);
 }
 
 TEST_CASE("A torn last line ends a journal at any octet; a flipped one is refused", "[wallet][journal]") {
@@ -90,7 +90,7 @@
     for (int i = 0; i < 2000; ++i) {
       journal.append({"p", fmt::format("s{}", i / 2), i});
       if (i % 50 == 0)
-        while (journal.lasting() < static_cast<std::uint64_t>(i)) std::this_thread::yield();
+        while (journal.durable_lines() < static_cast<std::uint64_t>(i)) std::this_thread::yield();
     }
   }
   CHECK(text(folder).size() <= 2 * 4096);
--- a/tests/fleet/wallet/wallet_fleet.h
+++ b/tests/fleet/wallet/wallet_fleet.h
@@ -19,7 +19,7 @@
  public:
   void append(const Line& line) override { lines.push_back(line); }
   std::vector<Line> load() override { return lines; }
-  std::uint64_t lasting() const override { return lasted - before; }
+  std::uint64_t durable_lines() const override { return lasted - before; }
   std::vector<Line> lines;
   std::uint64_t lasted = 0, before = 0;  // before: of earlier processes
 };
@@ -40,7 +40,7 @@
     Time ends = 0;
     bool serves = true;
   };
-  struct Holder : Book {
+  struct Holder : RecordInterface {
     std::string name;
     std::uint64_t incarnation = 0, number = 0;
     std::unique_ptr<Wallets> wallets;
@@ -53,7 +53,7 @@
     std::int64_t proposed = 0, reserved = 0, paused = 0;
 
     const Ledger& ledger() const override { return heard; }
-    bool leads() const override { return leading; }
+    bool is_leader() const override { return leading; }
     std::uint64_t propose(Time, Body body, Outbox&) override {
       ++proposed;
       outbox.push_back({{name, incarnation, ++number}, std::move(body)});
