--- a/src/fleet/wallet/settings.cpp
+++ b/src/fleet/wallet/settings.cpp
@@ -51,12 +51,12 @@
   s.ahead = duration(options, "ahead_s", 1e6, 0.05, 60, s.ahead);
   s.pause = duration(options, "pause_ms", 1e3, 100, 60'000, s.pause);
   if (s.ahead * 2 > s.term) options.refuse("ahead_s", "half of term_s at most");
-  if (options.find("held_back_most")) s.held_back_most = units(options, "held_back_most", 1);
+  if (options.find("held_back_most")) s.max_held_back = units(options, "held_back_most", 1);
   std::size_t prices = length(options, "prices", 1024);
   for (std::size_t i = 0; i < prices; ++i) {
     std::string path = fmt::format("prices.{}.", i);
     std::int64_t price = units(options, path + "units", 0);
-    if (price > s.held_back_most)
+    if (price > s.max_held_back)
       options.refuse(path + "units", "held_back_most at most: no slice would hold such a call");
     const std::string& priced = name(options, path + "class");
     if (!classes.empty() && std::find(classes.begin(), classes.end(), priced) == classes.end())
--- a/src/fleet/wallet/slices.cpp
+++ b/src/fleet/wallet/slices.cpp
@@ -41,7 +41,7 @@
   const Wallet* wallet = it == ledger.wallets.end() ? nullptr : &it->second;
   measure(now, till, plan, dearest);
   hear(now, till, plan, ledger, wallet);
-  close_what_ended(now, till, settings.held_back_most);
+  close_what_ended(now, till, settings.max_held_back);
   give_back(now, till, plan, members, dearest);
   list_open(till);
   write_ahead(now, till, plan);
@@ -85,12 +85,12 @@
 }
 
 void Slices::hear(Time now, Till& till, Plan& plan, const Ledger& ledger, const Wallet* wallet) {
-  till.sums.spent_here = till.spent_here;
+  till.totals.spent_here = till.spent_here;
   if (!wallet) return;
   std::int64_t held_back = 0, out = 0;
   for (const auto& [id, amount] : wallet->held_back) held_back += amount;
   for (const auto& [id, slice] : wallet->out) out += slice.amount;
-  till.sums = {wallet->paid, wallet->balance, out, wallet->spent, held_back, till.spent_here};
+  till.totals = {wallet->paid, wallet->balance, out, wallet->spent, held_back, till.spent_here};
   MARBLEHUB_HOLDS("wallet", wallet->paid == wallet->balance + out + wallet->spent,
                   "a wallet's deposits are not its balance, slices and spending");
   for (Held& held : till.held) {
@@ -163,11 +163,11 @@
   }
 }
 
-void Slices::close_what_ended(Time now, Till& till, std::int64_t held_back_most) {
+void Slices::close_what_ended(Time now, Till& till, std::int64_t max_held_back) {
   std::size_t open = 0;
   for (const Held& held : till.held) open += held.unspent(now) > 0;
   // No further slice may be had that holds the call: what is too small for it is returned.
-  bool crowded = till.hungry > held_back_most - held_by(till);
+  bool crowded = till.hungry > max_held_back - held_by(till);
   for (Held& held : till.held) {
     if (held.stage != Stage::open) continue;
     Time near = std::min((held.ends - held.since) / 4, kSecond);
@@ -182,7 +182,7 @@
 
 // The balance is out while slices stand here: others may need what this balancer will not spend soon.
 void Slices::give_back(Time now, Till& till, const Plan& plan, std::size_t members, std::int64_t dearest) {
-  if ((members < 2 && !till.least) || till.sums.balance >= dearest) return;
+  if ((members < 2 && !till.least) || till.totals.balance >= dearest) return;
   std::int64_t unspent = 0;
   for (const Held& held : till.held) unspent += held.unspent(now);
   for (Held& held : till.held) {
@@ -218,7 +218,7 @@
 
 void Slices::take(Time now, Till& till, Plan& plan, const WalletSettings& settings, RecordInterface& book,
                   std::size_t members, bool floats, std::int64_t dearest, Outbox& out) {
-  std::int64_t balance = till.sums.balance;
+  std::int64_t balance = till.totals.balance;
   till.out = balance < std::max<std::int64_t>(1, till.least);
   till.most = balance;
   for (const Held& slice : till.held) till.most = std::max(till.most, slice.unspent(now));
@@ -227,7 +227,7 @@
     return;
   }
   auto others = static_cast<std::int64_t>(members);
-  std::int64_t capacity = settings.held_back_most - held_by(till);
+  std::int64_t capacity = settings.max_held_back - held_by(till);
   // Low: so little that what each would hold in store is missed elsewhere. It is drawn call by call.
   bool low = balance < 4 * others * plan.usual;
   std::int64_t least = plan.usual;
@@ -257,7 +257,7 @@
   plan.ask_at.reset();
   plan.asked_for = terms_.name + "/" + std::to_string(terms_.incarnation) + "/" + std::to_string(++taken_);
   plan.wanted = wanted;
-  MARBLEHUB_HOLDS("wallet", held_by(till) + wanted <= settings.held_back_most,
+  MARBLEHUB_HOLDS("wallet", held_by(till) + wanted <= settings.max_held_back,
                   "more is asked for than may be held back");
   plan.command = book.propose(now,
                               TakeSlice{till.tenant, plan.asked_for, terms_.name, terms_.incarnation, wanted,
--- a/src/fleet/wallet/slices.h
+++ b/src/fleet/wallet/slices.h
@@ -43,7 +43,7 @@
   void hear(Time now, Till& till, Plan& plan, const Ledger& ledger, const Wallet* wallet);
   void adopt(Time now, Till& till, const std::string& id, const Slice& slice, const Plan& plan);
   void write_ahead(Time now, Till& till, const Plan& plan);
-  void close_what_ended(Time now, Till& till, std::int64_t held_back_most);
+  void close_what_ended(Time now, Till& till, std::int64_t max_held_back);
   void give_back(Time now, Till& till, const Plan& plan, std::size_t members, std::int64_t dearest);
   void send_back(Time now, Till& till, RecordInterface& book, Outbox& out);
   void take(Time now, Till& till, Plan& plan, const WalletSettings& settings, RecordInterface& book,
--- a/src/fleet/wallet/tills.h
+++ b/src/fleet/wallet/tills.h
@@ -47,9 +47,9 @@
   std::int64_t hungry = 0;            // the dearest call refused since the last slice came, none hopeless
   std::int64_t least = 0;             // the cheapest refused since then
   Time last_asked = -3600 * kSecond;
-  std::int64_t most = 0;  // what one slice could hold: the balance, or the most that is unspent in one here
-  bool out = true;        // the balance is not enough for the cheapest call
-  Wallets::Sums sums;     // of the record, as last seen
+  std::int64_t most = 0;   // what one slice could hold: the balance, or the most that is unspent in one here
+  bool out = true;         // the balance is not enough for the cheapest call
+  Wallets::Totals totals;  // of the record, as last seen
 
   std::int64_t left(Time now) const;
 };
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -16,11 +16,11 @@
 struct WalletSettings {
   std::map<std::string, std::int64_t> prices;                           // by class; one not named costs 1
   std::map<std::string, std::map<std::string, std::int64_t>> deposits;  // tenant: id: amount
-  bool unknown_served = true;          // calls of a tenant without a wallet, or of none
-  Time term = 10 * kSecond;            // of a slice
-  Time ahead = kSecond;                // a slice is to last about so long at the balancer's own rate
-  std::int64_t held_back_most = 1000;  // of each wallet: units in slices of one balancer at most
-  Time pause = kSecond;                // told to clients that are refused, spread over half to all of it
+  bool unknown_served = true;         // calls of a tenant without a wallet, or of none
+  Time term = 10 * kSecond;           // of a slice
+  Time ahead = kSecond;               // a slice is to last about so long at the balancer's own rate
+  std::int64_t max_held_back = 1000;  // of each wallet: units in slices of one balancer at most
+  Time pause = kSecond;               // told to clients that are refused, spread over half to all of it
 };
 // Throws config::DecodeError with key. `classes`: those of the start file, where it is known; a price for any
 // other would never be asked.
@@ -91,10 +91,10 @@
   Time retry_after(Time now);
   // Why deposits of the file are not offered to the record (check_against, at start); empty: all are.
   const std::string& deposit_error() const;
-  struct Sums {
+  struct Totals {
     std::int64_t paid = 0, balance = 0, out = 0, spent = 0, held_back = 0, spent_here = 0;
   };
-  Sums sums(std::string_view tenant) const;
+  Totals totals(std::string_view tenant) const;
 
  private:
   struct State;
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -226,12 +226,12 @@
 
 const std::string& Wallets::deposit_error() const { return state_->deposit_error; }
 
-Wallets::Sums Wallets::sums(std::string_view tenant) const {
+Wallets::Totals Wallets::totals(std::string_view tenant) const {
   const Till* till = state_->tills.find(tenant);
   if (!till) return {};
-  Sums sums = till->sums;
-  sums.spent_here = till->spent_here;
-  return sums;
+  Totals totals = till->totals;
+  totals.spent_here = till->spent_here;
+  return totals;
 }
 
 }  // namespace marblehub::fleet
--- a/tests/fleet/wallet/on_record_test.cpp
+++ b/tests/fleet/wallet/on_record_test.cpp
@@ -69,7 +69,7 @@
     nine.run(20 * kSecond, 0.1);
     CHECK(nine.served <= 5000);
     // What stood at the one that died with the leader counts as spent.
-    CHECK(nine.served >= 4950 - settings.held_back_most);
+    CHECK(nine.served >= 4950 - settings.max_held_back);
     for (auto& [name, own] : nine.wallets)
       if (nine.cluster.members[name].record) CHECK(own->paused("partner"));
   }
--- a/tests/fleet/wallet/random_test.cpp
+++ b/tests/fleet/wallet/random_test.cpp
@@ -55,7 +55,7 @@
   std::map<std::pair<std::string, std::uint64_t>, std::int64_t> held;
   for (const auto& [id, slice] : fleet.wallet().out) {
     std::int64_t& sum = held[{slice.holder, slice.incarnation}];
-    REQUIRE((sum += slice.amount) <= fleet.settings.held_back_most);
+    REQUIRE((sum += slice.amount) <= fleet.settings.max_held_back);
   }
 }
 
@@ -63,7 +63,7 @@
   WalletSettings settings = partner(100 + static_cast<std::int64_t>(seed % 7) * 300);
   std::int64_t dear = seed % 2 ? 3 : 40;
   settings.prices = {{"dear", dear}, {"middle", 7}};
-  if (seed % 8 == 0) settings.held_back_most = dear;
+  if (seed % 8 == 0) settings.max_held_back = dear;
   settings.term = seed % 3 ? 2 * kSecond : kSecond;
   WalletFleet fleet(3 + seed % 4, settings, seed, seed % 5 != 0);
   double rate = fleet.chance.in(0.5) ? 0.2 : 1;
--- a/tests/fleet/wallet/settings_test.cpp
+++ b/tests/fleet/wallet/settings_test.cpp
@@ -28,7 +28,7 @@
   CHECK(s.term == 5 * kSecond);
   CHECK(s.ahead == 500 * kMillisecond);
   CHECK(s.pause == 500 * kMillisecond);
-  CHECK(s.held_back_most == 50);
+  CHECK(s.max_held_back == 50);
   CHECK(s.prices == std::map<std::string, std::int64_t>{{"a", 2}, {"b", 0}});
   CHECK(s.deposits["p"]["1"] == kMostUnits);
   CHECK(s.deposits["q"]["1"] == 7);
--- a/tests/fleet/wallet/wallet_fleet.h
+++ b/tests/fleet/wallet/wallet_fleet.h
@@ -205,7 +205,7 @@
   s.deposits["partner"]["first"] = deposit;
   s.term = 2 * kSecond;
   s.ahead = 500 * kMillisecond;
-  s.held_back_most = 200;
+  s.max_held_back = 200;
   return s;
 }
 
--- a/tests/fleet/wallet/wallets_test.cpp
+++ b/tests/fleet/wallet/wallets_test.cpp
@@ -184,7 +184,7 @@
   fleet.holders[4].wallets->update_settings(more);
   std::int64_t before = fleet.holders[4].reserved;
   spend(fleet, {100}, 4 * kSecond);
-  CHECK(fleet.holders[4].reserved - before <= fleet.settings.held_back_most);
+  CHECK(fleet.holders[4].reserved - before <= fleet.settings.max_held_back);
   CHECK(fleet.holders[4].reserved > before);
   CHECK(fleet.paid() == 3000);
   CHECK(fleet.call(4, "") == ReserveResult::paused);
@@ -201,7 +201,7 @@
     for (bool journals : {false, true}) {
       WalletSettings settings = partner(50'000);
       settings.ahead = kSecond;
-      settings.held_back_most = 250;
+      settings.max_held_back = 250;
       WalletFleet fleet(9, settings, seed, journals);
       fleet.run(kSecond);
       spend(fleet, {200}, 2 * kSecond + fleet.chance.below(kSecond));
@@ -210,7 +210,7 @@
       std::int64_t lapsed = 0;
       for (const auto& [id, amount] : fleet.wallet().held_back) lapsed += amount;
       CHECK(lapsed > 0);
-      CHECK(lapsed <= 3 * fleet.settings.held_back_most);
+      CHECK(lapsed <= 3 * fleet.settings.max_held_back);
       for (std::size_t at : {1, 2, 3}) fleet.start(at);
       fleet.run(5 * kSecond);
       std::int64_t lost = fleet.wallet().spent - fleet.served;
