--- a/src/model/client_session.cpp
+++ b/src/model/client_session.cpp
@@ -73,7 +73,7 @@
   host->note("is told to move", *this);
   if (host->planning_) {
     host->figures_.moved.push_back(host->now());
-    if (client.moved_at >= 0 && host->now() - client.moved_at < host->scenario_.rebalance.floor)
+    if (client.moved_at >= 0 && host->now() - client.moved_at < host->scenario_.rebalance.min_move_interval)
       host->rules_.broken(Rule::floor, host->now(), "client " + std::to_string(client.id));
   }
   client.moved_at = host->now();
--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -180,7 +180,8 @@
     HostFigures all;
     std::vector<Time> moved;
     std::size_t most_one = 0;
-    double one_limit = scenario_.rebalance.moves_a_minute, fleet_limit = scenario_.rebalance.fleet_a_minute;
+    double one_limit = scenario_.rebalance.moves_per_minute,
+           fleet_limit = scenario_.rebalance.fleet_moves_per_minute;
     for (auto& host : hosts_) {
       const HostFigures& f = host->figures();
       all.calls += f.calls, all.refused += f.refused, all.failed += f.failed;
--- a/src/rebalance/move_limits.cpp
+++ b/src/rebalance/move_limits.cpp
@@ -36,14 +36,14 @@
 }
 
 std::size_t MoveLimits::allowance(const Settings& settings, Time now) const {
-  double share = settings.fleet_a_minute / fleet_.balancers;
-  double own = std::floor(std::min(settings.moves_a_minute, share));
+  double share = settings.fleet_moves_per_minute / fleet_.balancers;
+  double own = std::floor(std::min(settings.moves_per_minute, share));
   if (own >= 1) {
     double left = std::min(own - static_cast<double>(moved_.size()), in_a_burst(own) - lately(moved_, now));
     return static_cast<std::size_t>(std::max(0.0, left));
   }
-  if (settings.fleet_a_minute < 1 || settings.moves_a_minute < 1) return 0;
-  return allowance_in_turns(settings.fleet_a_minute, now);
+  if (settings.fleet_moves_per_minute < 1 || settings.moves_per_minute < 1) return 0;
+  return allowance_in_turns(settings.fleet_moves_per_minute, now);
 }
 
 // Whole moves only. A fleet limit that gives less than one a balancer and minute is kept in turns: time is
@@ -61,8 +61,8 @@
 // Every client that reconnects calls the session store; of what it can bear, what this balancer's clients ask
 // for anyway and what moves on the way will ask for is taken off.
 bool MoveLimits::store_allows(const Settings& settings, Time now, std::size_t planned) const {
-  if (settings.store_a_minute <= 0) return true;
-  double own = settings.store_a_minute / fleet_.balancers;
+  if (settings.store_calls_per_minute <= 0) return true;
+  double own = settings.store_calls_per_minute / fleet_.balancers;
   double in_a_minute = static_cast<double>(set_ups_.size() + to_come_.size() + planned) + 1;
   double in_burst = lately(set_ups_, now) + lately(to_come_, now) + static_cast<double>(planned) + 1;
   return in_a_minute <= own && in_burst <= in_a_burst(own);
--- a/src/rebalance/planner.cpp
+++ b/src/rebalance/planner.cpp
@@ -45,7 +45,7 @@
 }
 
 void Planner::reported(Time now, const std::string& worker, double load) {
-  table_.report(worker, load, now, settings_.stale, random_);
+  table_.report(worker, load, now, settings_.max_report_age, random_);
 }
 
 void Planner::answered(Time now, bool refused) {
@@ -89,9 +89,9 @@
   double rejected = asked > kJudgedCalls ? rejected_.at(now, kRejectionMemory) / asked : 0;
   double stale = view_.reported > 0 ? static_cast<double>(view_.stale) / view_.reported : 0;
   stale_.update(stale > kMostStale, stale <= kMostStale / 2, now);
-  rejecting_.update(rejected > settings_.refusals, rejected < settings_.refusals / 2, now);
-  overloaded_.update(view_.mean > settings_.overload, view_.mean < settings_.overload * kOverloadReopens,
-                     now);
+  rejecting_.update(rejected > settings_.max_refused_share, rejected < settings_.max_refused_share / 2, now);
+  overloaded_.update(view_.mean > settings_.max_mean_load,
+                     view_.mean < settings_.max_mean_load * kOverloadReopens, now);
   double listed = 0, known = 0;
   for (const Worker& worker : table_.workers()) {
     if (!worker.serving || (worker.level < 0 && worker.connections.empty())) continue;
@@ -118,8 +118,8 @@
 
 bool Planner::may_move(const Standing& standing, double most_load, Time now) const {
   Time age = now - standing.since;
-  if (age < settings_.settle || standing.load > most_load) return false;
-  return !standing.returned || age >= settings_.floor;
+  if (age < settings_.settle_time || standing.load > most_load) return false;
+  return !standing.returned || age >= settings_.min_move_interval;
 }
 
 // Of some that may move, one whose group has fewest others here: the last of a group takes its shared work
@@ -158,7 +158,7 @@
 // ---- The plan ----------------------------------------------------------------------------------------
 
 Plan Planner::plan(Time now) {
-  view_ = view_of(table_, fleet_, now, settings_.stale);
+  view_ = view_of(table_, fleet_, now, settings_.max_report_age);
   double seconds =
       last_plan_ < 0 ? 1 : static_cast<double>(std::min(now - last_plan_, kLongestStep)) / kSecond;
   last_plan_ = now;
@@ -167,7 +167,7 @@
 
   Step step;
   step.now = now;
-  step.part = 1 - std::exp2(-seconds * kSecond / static_cast<double>(settings_.half));
+  step.part = 1 - std::exp2(-seconds * kSecond / static_cast<double>(settings_.half_life));
   step.left = limits_.allowance(settings_, now);
   step.plan.state = gates(now);
   PlannerState by_routes = PlannerState::balanced;
@@ -195,7 +195,7 @@
   const std::size_t count = workers.size(), from = count > 0 ? random_() % count : 0;
   for (std::size_t k = 0; k < count; ++k) {
     Worker& worker = workers[(from + k) % count];
-    if (worker.connections.empty() || !worker.known(step.now, settings_.stale)) continue;
+    if (worker.connections.empty() || !worker.known(step.now, settings_.max_report_age)) continue;
     // Loads that swing faster than moves could follow are no reason to move.
     double excess = std::min(worker.level - view_.mean, worker.lasting - view_.lasting);
     if (excess <= settings_.gap * kStopPart / 2) {
@@ -203,7 +203,7 @@
       continue;
     }
     due = true;
-    if (excess * stay_minutes() <= settings_.price) continue;
+    if (excess * stay_minutes() <= settings_.min_gain) continue;
     gains = true;
     barred |= !move_off(worker, excess, step);
     if (step.plan.state != PlannerState::acting) return;  // a limit is spent
--- a/src/rebalance/settings.cpp
+++ b/src/rebalance/settings.cpp
@@ -25,21 +25,21 @@
   Settings s;
   if (options.find("enabled")) s.enabled = options.flag("enabled");
   if (options.find("dry_run")) s.dry_run = options.flag("dry_run");
-  s.moves_a_minute = options.number_or("moves_a_minute", 0.0, s.moves_a_minute);
-  s.fleet_a_minute = options.number_or("fleet_moves_a_minute", 0.0, s.fleet_a_minute);
+  s.moves_per_minute = options.number_or("moves_a_minute", 0.0, s.moves_per_minute);
+  s.fleet_moves_per_minute = options.number_or("fleet_moves_a_minute", 0.0, s.fleet_moves_per_minute);
   s.gap = options.share_or("gap", 0.01, s.gap);
-  s.floor = seconds(options, "floor_s", 0, s.floor);
-  s.settle = seconds(options, "settle_s", 0, s.settle);
-  s.half = seconds(options, "half_s", 5, s.half);
+  s.min_move_interval = seconds(options, "floor_s", 0, s.min_move_interval);
+  s.settle_time = seconds(options, "settle_s", 0, s.settle_time);
+  s.half_life = seconds(options, "half_s", 5, s.half_life);
   if (options.find("quiet_from")) s.quiet_from = minute(options, "quiet_from");
   if (options.find("quiet_to")) s.quiet_to = minute(options, "quiet_to");
   if ((s.quiet_from < 0) != (s.quiet_to < 0))
     options.refuse(s.quiet_from < 0 ? "quiet_from" : "quiet_to", "both or neither");
-  s.price = options.number_or("price", 0.0, s.price);
-  s.store_a_minute = options.number_or("store_calls_a_minute", 0.0, s.store_a_minute);
-  s.stale = seconds(options, "stale_s", 1, s.stale);
-  s.refusals = options.share_or("refusals", 0.001, s.refusals);
-  s.overload = options.share_or("overload", 0.1, s.overload);
+  s.min_gain = options.number_or("price", 0.0, s.min_gain);
+  s.store_calls_per_minute = options.number_or("store_calls_a_minute", 0.0, s.store_calls_per_minute);
+  s.max_report_age = seconds(options, "stale_s", 1, s.max_report_age);
+  s.max_refused_share = options.share_or("refusals", 0.001, s.max_refused_share);
+  s.max_mean_load = options.share_or("overload", 0.1, s.max_mean_load);
   s.progress_timeout =
       seconds(options, options.renamed("progress_timeout_s", "patience_s"), 10, s.progress_timeout);
   if (options.find("pause_file")) s.pause_file = options.text("pause_file");
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -88,7 +88,7 @@
   CHECK(s.d.moved > 20);
   CHECK(s.driver.planner().gap() < 0.01);
   rebalance::Settings quiet = moving();
-  quiet.overload = 0.2;
+  quiet.max_mean_load = 0.2;
   Shifted full(quiet);
   full.shift();
   full.second(60);
@@ -105,7 +105,7 @@
   CHECK(s.counters.planned.value > 20);
   CHECK(s.counters.planned.value <= 121);
   rebalance::Settings settled = moving();
-  settled.settle = 10 * kMinute;
+  settled.settle_time = 10 * kMinute;
   Shifted young(settled);
   young.shift();
   young.second(120);
@@ -114,7 +114,7 @@
 
 TEST_CASE("the store's budget bounds them too") {
   rebalance::Settings few = moving();
-  few.store_a_minute = 24;
+  few.store_calls_per_minute = 24;
   Shifted s(few);
   s.shift();
   std::vector<int> moves = s.second(180);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -18,9 +18,9 @@
   Settings s;
   s.enabled = true;
   s.dry_run = false;
-  s.moves_a_minute = 1e6;
-  s.fleet_a_minute = 1e6;
-  s.settle = kSecond;
+  s.moves_per_minute = 1e6;
+  s.fleet_moves_per_minute = 1e6;
+  s.settle_time = kSecond;
   return s;
 }
 
@@ -135,15 +135,15 @@
 
 TEST_CASE("no minute holds more moves than its limits say, those of a fleet in turns included") {
   Settings s = free_settings();
-  s.moves_a_minute = 7;
+  s.moves_per_minute = 7;
   Floor one = uneven(s, 1, 600);
   one.run(400);
   CHECK(most_in_a_minute(one.moves) <= 7);
   CHECK(one.moves.size() > 20);
   CHECK(one.last == PlannerState::spent);
   for (double fleet : {30.0, 4.0}) {  // three for each of ten balancers, and fewer than one
-    s.moves_a_minute = 1000;
-    s.fleet_a_minute = fleet;
+    s.moves_per_minute = 1000;
+    s.fleet_moves_per_minute = fleet;
     Floor ten = uneven(s, 10, 60);
     ten.run(600);
     CHECK(static_cast<double>(most_in_a_minute(ten.moves)) <= fleet);
@@ -153,7 +153,7 @@
 
 TEST_CASE("no client is moved again within the floor, nor one whose past is not known") {
   Settings s = free_settings();
-  s.floor = 200 * kSecond;
+  s.min_move_interval = 200 * kSecond;
   Floor f(s);
   for (const char* name : {"a", "b"}) f.worker(name);
   std::set<std::uint64_t> back, found, fresh;
@@ -257,7 +257,7 @@
   }
   SECTION("what clients gain until they leave is less than the price") {
     Settings s = free_settings();
-    s.price = 0.2;
+    s.min_gain = 0.2;
     Floor f = uneven(s, 1, 60);
     for (int second = 0; second < 100; ++second) {  // most leave within two seconds of coming
       std::uint64_t id = f.stand(0, "a", 0.001);
@@ -281,7 +281,7 @@
   }
   SECTION("the session store's budget is used up") {
     Settings s = free_settings();
-    s.store_a_minute = 12;
+    s.store_calls_per_minute = 12;
     Floor f = uneven(s);
     f.run(61);
     for (int i = 0; i < 12; ++i)
@@ -336,7 +336,7 @@
 
 TEST_CASE("what stands outside its pool goes within the limits of the whole fleet") {
   Settings s = free_settings();
-  s.fleet_a_minute = 120;
+  s.fleet_moves_per_minute = 120;
   s.gap = 1;  // nothing is moved for balance
   Floor f(s, 10);
   f.lands = false;
