--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -235,7 +235,7 @@
     double gaps = 0;
     for (const auto& m : r.moments) gaps += m.gap;
     f["mean gap"] = r.moments.empty() ? 0 : gaps / static_cast<double>(r.moments.size());
-    for (int i = 0; i < rebalance::kPlannerStates; ++i)
+    for (int i = 0; i < rebalance::kPlannerStateCount; ++i)
       f[std::string("seconds ") + rebalance::name_of(static_cast<rebalance::PlannerState>(i))] =
           all.seconds[static_cast<std::size_t>(i)] / scenario_.balancers;
     f["events"] = static_cast<double>(lanes_.handled());
--- a/src/model/host.h
+++ b/src/model/host.h
@@ -21,11 +21,11 @@
 struct HostFigures {
   long calls = 0, refused = 0, failed = 0, gave_up = 0;
   long planned = 0, told = 0, lost = 0;
-  double wanted = 0;                                        // client-seconds of wish
-  double without = 0;                                       // of them without a connection
-  std::vector<Time> moved;                                  // for balance, in order
-  std::vector<float> set_up_ms;                             // a sample of them
-  std::array<double, rebalance::kPlannerStates> seconds{};  // of the planner, in each state
+  double wanted = 0;                                            // client-seconds of wish
+  double without = 0;                                           // of them without a connection
+  std::vector<Time> moved;                                      // for balance, in order
+  std::vector<float> set_up_ms;                                 // a sample of them
+  std::array<double, rebalance::kPlannerStateCount> seconds{};  // of the planner, in each state
 
   // From when it began to want one until then the client had a connection, or had none.
   void had(const Client& client, Time until) {
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -27,7 +27,7 @@
       mean(metrics.gauge("marblehub_rebalance_mean_load", "Load a capacity of all workers seen")),
       paused(
           metrics.gauge("marblehub_rebalance_paused", "Whether an operator has paused moves for balance")) {
-  for (int i = 0; i < kPlannerStates; ++i)
+  for (int i = 0; i < kPlannerStateCount; ++i)
     seconds.push_back(&metrics.counter("marblehub_rebalance_seconds_total",
                                        "Time in which moves for balance were made, or why they were not",
                                        {{"state", name_of(static_cast<PlannerState>(i))}}));
--- a/src/rebalance/outside_moves.cpp
+++ b/src/rebalance/outside_moves.cpp
@@ -49,9 +49,9 @@
   outside_credit_ = std::min(outside_credit_ + share, 1 + 2 * share);
   while (outside_credit_ >= 1) {
     if (outside_.empty()) return plan.moves.empty() ? PlannerState::balanced : PlannerState::acting;
-    if (step.left == 0) return PlannerState::spent;
+    if (step.left == 0) return PlannerState::move_limit;
     if (!limits_.store_allows(settings_, step.now, settings_.dry_run ? 0 : plan.moves.size()))
-      return PlannerState::store;
+      return PlannerState::store_limit;
     std::uint64_t id = choose_outside(step.now);
     if (id == 0) {
       outside_credit_ = std::min(outside_credit_, 1.0);
--- a/src/rebalance/planner.cpp
+++ b/src/rebalance/planner.cpp
@@ -99,19 +99,19 @@
     known += worker.level >= 0 ? worker.scale : 0;
   }
   if (paused_) return PlannerState::paused;
-  if (in_quiet_hours(now)) return PlannerState::quiet;
+  if (in_quiet_hours(now)) return PlannerState::quiet_hours;
   // What the limits had left before a restart is not known: the first minute counts as spent.
   if (now - began_ < kMinute) return PlannerState::starting;
-  if (view_.reported - view_.stale < 2 || known < kKnownPart * listed) return PlannerState::blind;
-  if (stale_.shut()) return PlannerState::stale;
-  if (rejecting_.shut()) return PlannerState::refusals;
+  if (view_.reported - view_.stale < 2 || known < kKnownPart * listed) return PlannerState::too_few_reports;
+  if (stale_.shut()) return PlannerState::stale_reports;
+  if (rejecting_.shut()) return PlannerState::many_refusals;
   return overloaded_.shut() ? PlannerState::overload : PlannerState::acting;
 }
 
 PlannerState Planner::gap_allows(Time now) {
   if (view_.gap < settings_.gap * (acting_ ? kStopPart : 1)) return PlannerState::balanced;
   bool helps = progress_.may_go_on(view_.gap, settings_.progress_timeout, now);
-  return helps ? PlannerState::acting : PlannerState::no_better;
+  return helps ? PlannerState::acting : PlannerState::no_progress;
 }
 
 // ---- Which -------------------------------------------------------------------------------------------
@@ -232,11 +232,11 @@
       return false;
     }
     if (step.left == 0) {
-      step.plan.state = PlannerState::spent;
+      step.plan.state = PlannerState::move_limit;
       return true;
     }
     if (!limits_.store_allows(settings_, step.now, step.outside)) {
-      step.plan.state = PlannerState::store;
+      step.plan.state = PlannerState::store_limit;
       return true;
     }
     worker.credit -= 1;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -140,7 +140,7 @@
   one.run(400);
   CHECK(most_in_a_minute(one.moves) <= 7);
   CHECK(one.moves.size() > 20);
-  CHECK(one.last == PlannerState::spent);
+  CHECK(one.last == PlannerState::move_limit);
   for (double fleet : {30.0, 4.0}) {  // three for each of ten balancers, and fewer than one
     s.moves_per_minute = 1000;
     s.fleet_moves_per_minute = fleet;
@@ -216,7 +216,7 @@
     s.quiet_from = (minute + 1430) % 1440, s.quiet_to = (minute + 3) % 1440;
     Floor f = uneven(s);
     CHECK(f.run(170) == 0);
-    CHECK(f.last == PlannerState::quiet);
+    CHECK(f.last == PlannerState::quiet_hours);
     CHECK(f.run(60) > 0);
   }
   SECTION("reports are stale; it goes on only after they have been fresh for a while") {
@@ -225,25 +225,25 @@
     f.run(70);
     f.silent = {"a", "b"};
     f.run(30);
-    CHECK(f.last == PlannerState::stale);
+    CHECK(f.last == PlannerState::stale_reports);
     f.silent.clear();
     CHECK(f.run(5) == 0);
-    CHECK(f.last == PlannerState::stale);
+    CHECK(f.last == PlannerState::stale_reports);
     f.run(10);
-    CHECK(f.last != PlannerState::stale);
+    CHECK(f.last != PlannerState::stale_reports);
   }
   SECTION("nothing is known of most workers") {
     Floor f = uneven(free_settings());
     f.silent = {"a", "b"};
     f.run(100);
-    CHECK(f.last == PlannerState::blind);
+    CHECK(f.last == PlannerState::too_few_reports);
   }
   SECTION("refusals rise") {
     Floor f = uneven(free_settings());
     f.run(61);
     for (int i = 0; i < 100; ++i) f.planners[0].answered(f.now, i % 10 == 0);
     CHECK(f.run(2) == 0);
-    CHECK(f.last == PlannerState::refusals);
+    CHECK(f.last == PlannerState::many_refusals);
     for (int i = 0; i < 900; ++i) f.planners[0].answered(f.now, false);
     CHECK(f.run(8) == 0);  // not at once
     f.run(10);
@@ -287,7 +287,7 @@
     for (int i = 0; i < 12; ++i)
       f.planners[0].stands(f.now, {10000 + static_cast<std::uint64_t>(i), "c", 1, 0, false, false});
     CHECK(f.run(30) == 0);
-    CHECK(f.last == PlannerState::store);
+    CHECK(f.last == PlannerState::store_limit);
   }
   SECTION("moves do not narrow the gap: it rests, and longer each time") {
     Floor f = uneven(free_settings(), 1, 600);
@@ -296,7 +296,7 @@
     std::vector<bool> rests;
     for (int i = 0; i < 900; ++i) {
       f.step();
-      rests.push_back(f.last == PlannerState::no_better);
+      rests.push_back(f.last == PlannerState::no_progress);
       for (const char* name : {"a", "b"})
         while (f.loads[name] < 600) f.stand(0, name, 2);
     }
