--- a/src/main.cpp
+++ b/src/main.cpp
@@ -200,7 +200,7 @@
   void plan_moves() {
     const std::string& file = rebalance_->settings().pause_file;
     std::error_code error;
-    rebalance_->pause(paused_ || (!file.empty() && std::filesystem::exists(file, error)));
+    rebalance_->set_paused(paused_ || (!file.empty() && std::filesystem::exists(file, error)));
     if (retiring_since_ == 0) rebalance_->step();
     plan_tick_.start(kPlanEvery);
   }
@@ -233,7 +233,7 @@
         log::warning("quic: enabled has changed, which takes a restart to follow");
       }
       if (rebalance && rebalance_)
-        rebalance_->follow(*rebalance);
+        rebalance_->update_settings(*rebalance);
       else if (rebalance || rebalance_)
         log::warning("rebalance: enabled has changed, which takes a restart to follow");
       for (const std::string& key : config::needs_restart(values_, loaded.values))
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -44,9 +44,9 @@
   dispatcher.set_standing_watch(*this);
 }
 
-void Driver::follow(const Settings& settings) {
+void Driver::update_settings(const Settings& settings) {
   settings_ = settings;
-  planner_.follow(settings);
+  planner_.update_settings(settings);
 }
 
 Plan Driver::step() {
@@ -82,9 +82,9 @@
   planner_.outside(dispatcher_.outside());
 }
 
-void Driver::pause(bool on) {
+void Driver::set_paused(bool on) {
   if (on != planner_.paused()) log::info("rebalancing: {}", on ? "paused" : "resumed");
-  planner_.pause(on);
+  planner_.set_paused(on);
   counters_.paused.set(on);
 }
 
--- a/src/rebalance/driver.h
+++ b/src/rebalance/driver.h
@@ -24,9 +24,9 @@
          Counters& counters);
 
   Plan step();  // what was planned; in a dry run none of it is done
-  void pause(bool on);
+  void set_paused(bool on);
   // Other settings from now on. What has been moved in the last minute still counts.
-  void follow(const Settings& settings);
+  void update_settings(const Settings& settings);
   bool paused() const { return planner_.paused(); }
   const Settings& settings() const { return settings_; }
   const Planner& planner() const { return planner_; }
--- a/src/rebalance/planner.h
+++ b/src/rebalance/planner.h
@@ -35,7 +35,7 @@
   Planner(const Settings& settings, const Fleet& fleet, Time now);
 
   /// Other settings from now on.
-  void follow(const Settings& settings) { settings_ = settings; }
+  void update_settings(const Settings& settings) { settings_ = settings; }
 
   // ---- What it is shown.
   void member(const Member& member) { table_.update(member, random_); }
@@ -50,7 +50,7 @@
   void outside(std::vector<std::uint64_t> ids);
   /// A client, by whomever: it will call the session store.
   void told_to_move(Time now) { limits_.told_to_move(now); }
-  void pause(bool on) { paused_ = on; }
+  void set_paused(bool on) { paused_ = on; }
   bool paused() const { return paused_; }
 
   // ---- What it plans, asked about once a second. In a dry run it plans the same and takes it as done.
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -79,11 +79,11 @@
 
 TEST_CASE("what stops moves for balance stops these, but not that there is no gap") {
   Shifted s(moving());
-  s.driver.pause(true);
+  s.driver.set_paused(true);
   s.shift();
   s.second(60);
   CHECK(s.d.moved == 0);
-  s.driver.pause(false);
+  s.driver.set_paused(false);
   s.second(60);
   CHECK(s.d.moved > 20);
   CHECK(s.driver.planner().gap() < 0.01);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -204,10 +204,10 @@
   SECTION("paused, and resumed") {
     Floor f = uneven(free_settings());
     f.run(61);
-    f.planners[0].pause(true);
+    f.planners[0].set_paused(true);
     CHECK(f.run(30) == 0);
     CHECK(f.last == PlannerState::paused);
-    f.planners[0].pause(false);
+    f.planners[0].set_paused(false);
     CHECK(f.run(30) > 0);
   }
   SECTION("quiet hours, past midnight too") {
