--- a/tests/quic/quic_settings_test.cpp
+++ b/tests/quic/quic_settings_test.cpp
@@ -97,7 +97,7 @@
   std::string path = std::string(folder) + "/quic.json";
   std::ofstream(path) << file_with(R"(, "workers": [{"name": "g-1", "server_id": ")" +
                                    hex(default_server_id("g-2", 4)) + R"("}])");
-  std::string start = config::starting_file(config::applications()[0]);
+  std::string start = config::sample_config(config::applications()[0]);
   auto replace = [&start](std::string_view what, const std::string& with) {
     start.replace(start.find(what), what.size(), with);
   };
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -25,7 +25,7 @@
   return all;
 }
 
-std::string starting_file(const Application& a) {
+std::string sample_config(const Application& a) {
   return fmt::format(R"(// marblehub for {}: {}.
 // Start it with BALANCER_CONFIG set to this file's path; check it with: marblehub-config check FILE
 {{
@@ -77,8 +77,8 @@
   }}
 }}
 )",
-                     a.name, a.summary, a.attempts, a.message_aim_ms * 1000, a.request_class, a.aim_ms * 1000,
-                     a.deadline_ms * 1000);
+                     a.name, a.summary, a.attempts, a.message_target_ms * 1000, a.request_class,
+                     a.latency_target_ms * 1000, a.deadline_ms * 1000);
 }
 
 namespace {
--- a/tools/application.h
+++ b/tools/application.h
@@ -9,13 +9,13 @@
 
 struct Application {
   std::string name, summary, request_class;
-  long aim_ms, deadline_ms, message_aim_ms;
+  long latency_target_ms, deadline_ms, message_target_ms;
   int attempts;
 };
 const std::vector<Application>& applications();
 
 // A commented file to start from; JSON in which // begins a comment.
-std::string starting_file(const Application& application);
+std::string sample_config(const Application& application);
 
 struct Findings {
   std::vector<std::string> errors, warnings;  // plain lines, each with the key it is about
--- a/tools/marblehub_config.cpp
+++ b/tools/marblehub_config.cpp
@@ -32,7 +32,7 @@
   for (const Application& application : applications()) {
     if (application.name != args[1]) continue;
     if (args.size() == 2) {
-      std::cout << starting_file(application);
+      std::cout << sample_config(application);
       return 0;
     }
     if (std::ifstream(args[2])) {
@@ -40,7 +40,7 @@
       return 1;
     }
     std::ofstream file(args[2]);
-    file << starting_file(application);
+    file << sample_config(application);
     file.close();
     if (file) return 0;
     std::cerr << "marblehub-config: cannot write " << args[2] << '\n';
