--- a/src/rebalance/standing_table.cpp
+++ b/src/rebalance/connection_table.cpp
@@ -1,4 +1,4 @@
-#include "rebalance/standing_table.h"
+#include "rebalance/connection_table.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-int StandingTable::index_of(const std::string& worker, std::mt19937_64& random) {
+int ConnectionTable::index_of(const std::string& worker, std::mt19937_64& random) {
   auto [it, added] = index_.try_emplace(worker, static_cast<int>(workers_.size()));
   if (added) {
     workers_.emplace_back();
@@ -23,7 +23,7 @@
   return it->second;
 }
 
-void StandingTable::update(const Member& member, std::mt19937_64& random) {
+void ConnectionTable::update(const Member& member, std::mt19937_64& random) {
   Worker& worker = workers_[static_cast<std::size_t>(index_of(member.worker, random))];
   worker.scale = member.scale > 0 ? member.scale : 1;
   worker.serving = member.serving;
@@ -31,12 +31,12 @@
   worker.start_time = std::max(worker.start_time, member.start_time);
 }
 
-void StandingTable::keep_only(const std::unordered_set<std::string>& named) {
+void ConnectionTable::keep_only(const std::unordered_set<std::string>& named) {
   for (Worker& worker : workers_) worker.serving = worker.serving && named.count(worker.name) > 0;
 }
 
-void StandingTable::report(const std::string& name, double load, Time now, Time stale,
-                           std::mt19937_64& random) {
+void ConnectionTable::report(const std::string& name, double load, Time now, Time stale,
+                             std::mt19937_64& random) {
   Worker& worker = workers_[static_cast<std::size_t>(index_of(name, random))];
   const Time age = now - worker.reported_at;
   const bool first = worker.level < 0 || age > stale;
@@ -46,7 +46,7 @@
   worker.reported_at = now;
 }
 
-bool StandingTable::add(const Connection& connection, Time now, std::mt19937_64& random) {
+bool ConnectionTable::add(const Connection& connection, Time now, std::mt19937_64& random) {
   int index = index_of(connection.worker, random);
   Worker& worker = workers_[static_cast<std::size_t>(index)];
   Standing standing;
@@ -64,7 +64,7 @@
   return true;
 }
 
-bool StandingTable::remove(std::uint64_t id) {
+bool ConnectionTable::remove(std::uint64_t id) {
   auto it = connections_.find(id);
   if (it == connections_.end()) return false;
   const Standing& standing = it->second;
@@ -78,25 +78,25 @@
   return true;
 }
 
-void StandingTable::set_load(std::uint64_t id, double load) {
+void ConnectionTable::set_load(std::uint64_t id, double load) {
   Standing* standing = find(id);
   if (!standing || load <= 0) return;
   worker_of(*standing).load += load - standing->load;
   standing->load = load;
 }
 
-StandingTable::Standing* StandingTable::find(std::uint64_t id) {
+ConnectionTable::Standing* ConnectionTable::find(std::uint64_t id) {
   auto it = connections_.find(id);
   return it == connections_.end() ? nullptr : &it->second;
 }
 
-double StandingTable::total_load() const {
+double ConnectionTable::total_load() const {
   double load = 0;
   for (const Worker& worker : workers_) load += worker.load;
   return load;
 }
 
-double StandingTable::usual_load() const {
+double ConnectionTable::usual_load() const {
   if (connections_.empty()) return 1;
   return std::max(kLeastUsualLoad, total_load() / static_cast<double>(connections_.size()));
 }
--- a/src/rebalance/standing_table.h
+++ b/src/rebalance/connection_table.h
@@ -31,7 +31,7 @@
   bool found = false;     // it stood before this balancer knew it: its age is unknown
 };
 
-class StandingTable {
+class ConnectionTable {
  public:
   struct Standing {  // a connection
     int worker = -1;
--- a/src/rebalance/fleet_view.cpp
+++ b/src/rebalance/fleet_view.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-double capacity_factor(const StandingTable::Worker& worker, const Fleet& fleet, Time now) {
+double capacity_factor(const ConnectionTable::Worker& worker, const Fleet& fleet, Time now) {
   return policy::slow_start_factor(worker.start_time, now, fleet.cold_share, fleet.warm_within);
 }
 
-FleetView view_of(const StandingTable& table, const Fleet& fleet, Time now, Time stale) {
+FleetView view_of(const ConnectionTable& table, const Fleet& fleet, Time now, Time stale) {
   FleetView view;
   double sum = 0, lasting = 0, lowest = kNoLowest, highest_lasting = 0, lowest_lasting = kNoLowest;
-  for (const StandingTable::Worker& worker : table.workers()) {
+  for (const ConnectionTable::Worker& worker : table.workers()) {
     if (!worker.serving || worker.level < 0) continue;
     view.reported += 1;
     if (!worker.known(now, stale)) {
@@ -38,7 +38,7 @@
   view.mean = sum / view.scales;
   view.lasting = lasting / view.scales;
   view.gap = std::min(view.highest - lowest, highest_lasting - lowest_lasting);
-  for (const StandingTable::Worker& worker : table.workers()) {
+  for (const ConnectionTable::Worker& worker : table.workers()) {
     if (!worker.known(now, stale)) continue;
     double factor = capacity_factor(worker, fleet, now);
     double size = worker.scale * factor;
--- a/src/rebalance/fleet_view.h
+++ b/src/rebalance/fleet_view.h
@@ -1,8 +1,8 @@
 /// How the fleet's load looks at one moment, as far as it is known.
 #pragma once
 
+#include "rebalance/connection_table.h"
 #include "rebalance/fleet.h"
-#include "rebalance/standing_table.h"
 
 namespace marblehub::rebalance {
 
@@ -20,9 +20,9 @@
 };
 
 /// The part of its capacity that the worker has by now.
-double capacity_factor(const StandingTable::Worker& worker, const Fleet& fleet, Time now);
+double capacity_factor(const ConnectionTable::Worker& worker, const Fleet& fleet, Time now);
 
 /// A report older than `stale` tells nothing.
-FleetView view_of(const StandingTable& table, const Fleet& fleet, Time now, Time stale);
+FleetView view_of(const ConnectionTable& table, const Fleet& fleet, Time now, Time stale);
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/planner.h
+++ b/src/rebalance/planner.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "policy/state/decaying_value.h"
+#include "rebalance/connection_table.h"
 #include "rebalance/fleet.h"
 #include "rebalance/fleet_view.h"
 #include "rebalance/hysteresis_gate.h"
@@ -20,7 +21,6 @@
 #include "rebalance/planner_state.h"
 #include "rebalance/progress_watch.h"
 #include "rebalance/settings.h"
-#include "rebalance/standing_table.h"
 
 namespace marblehub::rebalance {
 
@@ -63,8 +63,8 @@
   std::size_t standing() const { return table_.size(); }
 
  private:
-  using Standing = StandingTable::Standing;
-  using Worker = StandingTable::Worker;
+  using Standing = ConnectionTable::Standing;
+  using Worker = ConnectionTable::Worker;
 
   static constexpr double kMostAtOnce = 0.05;  // part of a worker's connections that one step moves
   static constexpr int kCompared = 12;         // candidates that are compared
@@ -92,7 +92,7 @@
   const Fleet fleet_;
   std::mt19937_64 random_;
   const Time began_;
-  StandingTable table_;
+  ConnectionTable table_;
   MoveLimits limits_;
   ProgressWatch progress_;
   FleetView view_;
