--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -251,15 +251,15 @@
 
   Event event;
   if (verb == "members") {
-    MembersEvent e;
+    EndpointListEvent e;
     fields.number_or_absent<std::uint64_t>("the version of the list");
     std::string_view slot_text = fields.text("a list number");
-    e.form =
-        fields.choice<ListForm>("changes, all, remembered or refused", {{"changes", ListForm::changes},
-                                                                        {"all", ListForm::all},
-                                                                        {"remembered", ListForm::remembered},
-                                                                        {"refused", ListForm::refused}});
-    if (e.form != ListForm::refused) {
+    e.kind = fields.choice<EndpointListKind>("changes, all, remembered or refused",
+                                             {{"changes", EndpointListKind::changes},
+                                              {"all", EndpointListKind::full},
+                                              {"remembered", EndpointListKind::cached},
+                                              {"refused", EndpointListKind::failed}});
+    if (e.kind != EndpointListKind::failed) {
       std::optional<std::size_t> slot = number_in<std::size_t>(slot_text);
       if (!slot || *slot >= pools_.size() || !pools_[*slot])
         fields.refuse("the number of a pool given before");
@@ -344,7 +344,7 @@
                    [&](const Fail& a) { put("surrender", a.id); },
                    [&](const Redirect& a) { put("redirect", a.id); },
                    [&](const Probe& a) { put("check", std::string_view(a.backend)); },
-                   [&](const Track&) { put("track", 1); },
+                   [&](const WatchEndpoints&) { put("track", 1); },
                    [&](const SetTimer& a) { put("set_alarm", a.after, a.cookie); }},
         action);
   }
--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -23,7 +23,7 @@
     entries->push_back({Health::serving, "worker-" + std::to_string(i), "a", 0, 1, i});
   std::vector<Action> actions;
   Time now = 0;
-  balancer.handle(now, MembersEvent{ListForm::all, entries}, actions);
+  balancer.handle(now, EndpointListEvent{EndpointListKind::full, entries}, actions);
   for (int i = 0; i < workers; ++i)
     balancer.handle(
         now, ProbeResultEvent{"worker-" + std::to_string(i), 2000 + i % 7 * 100, Outcome::served, {0.3}},
--- a/examples/relay.cpp
+++ b/examples/relay.cpp
@@ -21,7 +21,7 @@
   auto entries = std::make_shared<std::vector<policy::BackendEntry>>();
   entries->push_back({.address = "10.0.0.1:7000", .zone = "north"});
   entries->push_back({.address = "10.0.0.2:7000", .zone = "south"});
-  balancer.handle(0, policy::MembersEvent{policy::ListForm::all, entries}, actions);
+  balancer.handle(0, policy::EndpointListEvent{policy::EndpointListKind::full, entries}, actions);
   balancer.handle(1000, policy::RequestEvent{.id = 1, .request_class = 0, .expires_in = 1'800'000}, actions);
 
   int submitted = 0;
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -99,11 +99,11 @@
 
 /// What a list is: changes since the one before, all there are, what was remembered from before the start, or
 /// the news that the call for it has failed.
-enum class ListForm { changes, all, remembered, refused };
+enum class EndpointListKind { changes, full, cached, failed };
 
 /// The endpoint list, or a change of it.
-struct MembersEvent {
-  ListForm form = ListForm::all;
+struct EndpointListEvent {
+  EndpointListKind kind = EndpointListKind::full;
   std::shared_ptr<const std::vector<BackendEntry>> entries;  // none when refused
 };
 
@@ -179,7 +179,7 @@
   std::uint64_t id = 0;
 };
 
-using Event = std::variant<MembersEvent, RequestEvent, HandoverEvent, EstablishedEvent, ResultEvent,
+using Event = std::variant<EndpointListEvent, RequestEvent, HandoverEvent, EstablishedEvent, ResultEvent,
                            ProbeResultEvent, NoteEvent, TimerEvent, ClientGoneEvent>;
 
 // ---- Actions
@@ -217,14 +217,14 @@
   std::string backend;
 };
 /// Ask service discovery for changes from now on.
-struct Track {};
+struct WatchEndpoints {};
 /// Send a TimerEvent with this cookie after so long.
 struct SetTimer {
   Time after = 0;
   std::uint64_t cookie = 0;
 };
 
-using Action = std::variant<Submit, Reject, Fail, Redirect, Probe, Track, SetTimer>;
+using Action = std::variant<Submit, Reject, Fail, Redirect, Probe, WatchEndpoints, SetTimer>;
 
 // ---- The balancer
 
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -32,7 +32,7 @@
       messages_(startup.settings, clock.now()),
       counters_(counters) {
   timers_.push({now() + MessageMonitor::kLookInterval, TimerKind::monitor});
-  update_list(ListForm::remembered, startup.known);
+  update_list(EndpointListKind::cached, startup.known);
 }
 
 Dispatcher::~Dispatcher() = default;
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -117,7 +117,7 @@
   Exchange* find_waiting(std::uint64_t id);
 
   // ---- The policy.
-  void update_list(policy::ListForm form, const config::WorkerList& list);
+  void update_list(policy::EndpointListKind form, const config::WorkerList& list);
   void notify(policy::Event event);
   void handle_events();
   void carry_out(const policy::Submit& action);
@@ -125,7 +125,7 @@
   void carry_out(const policy::Fail& action);
   void carry_out(const policy::Redirect& action);
   void carry_out(const policy::Probe& action);
-  void carry_out(const policy::Track& action);
+  void carry_out(const policy::WatchEndpoints& action);
   void carry_out(const policy::SetTimer& action);
   policy::RequestEvent request_of(const Exchange& exchange) const;
   policy::ResultEvent result_of(const Exchange& exchange, Outcome outcome, const LoadReport& report,
--- a/src/core/dispatcher_policy.cpp
+++ b/src/core/dispatcher_policy.cpp
@@ -44,15 +44,15 @@
 
 void Dispatcher::list_received(const config::WorkerList& list) {
   counters_.lists.add();
-  update_list(list.snapshot ? ListForm::all : ListForm::changes, list);
+  update_list(list.snapshot ? EndpointListKind::full : EndpointListKind::changes, list);
 }
 
 void Dispatcher::list_failed() {
   counters_.list_failures.add();
-  notify(MembersEvent{ListForm::refused, nullptr});
+  notify(EndpointListEvent{EndpointListKind::failed, nullptr});
 }
 
-void Dispatcher::update_list(ListForm form, const config::WorkerList& list) {
+void Dispatcher::update_list(EndpointListKind form, const config::WorkerList& list) {
   if (watch_) watch_->members(list);
   if (gate_) gate_->members(list);
   // It counts as told once it has been written, which a process that was held up finds out late.
@@ -60,7 +60,7 @@
   workers_.update(list, written_at, now());
   auto entries = std::make_shared<std::vector<BackendEntry>>();
   for (const config::WorkerEntry& worker : list.workers) entries->push_back(worker.backend);
-  notify(MembersEvent{form, std::move(entries)});
+  notify(EndpointListEvent{form, std::move(entries)});
 }
 
 // ---- The policy --------------------------------------------------------------------------------------
@@ -130,7 +130,7 @@
   prober_.probe(action.backend, workers_.address_of(action.backend));
 }
 
-void Dispatcher::carry_out(const Track&) { registry_.track(); }
+void Dispatcher::carry_out(const WatchEndpoints&) { registry_.track(); }
 
 void Dispatcher::carry_out(const SetTimer& action) {
   timers_.push({now() + action.after, TimerKind::policy, action.cookie});
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -25,7 +25,7 @@
   Impl(const Impl&) = delete;  // the parts refer to each other
   Impl& operator=(const Impl&) = delete;
 
-  void on(const MembersEvent& event) { endpoints.on(event); }
+  void on(const EndpointListEvent& event) { endpoints.on(event); }
   void on(const ProbeResultEvent& event) { prober.on(event); }
   void on(const TimerEvent& event);
   template <class OfRequest>
--- a/src/policy/discovery/endpoint_list.cpp
+++ b/src/policy/discovery/endpoint_list.cpp
@@ -15,16 +15,16 @@
 
 }  // namespace
 
-void EndpointList::on(const MembersEvent& event) {
+void EndpointList::on(const EndpointListEvent& event) {
   call_in_flight_ = false;
-  if (event.form == ListForm::refused) return call_failed();
-  if (event.form == ListForm::remembered) {
+  if (event.kind == EndpointListKind::failed) return call_failed();
+  if (event.kind == EndpointListKind::cached) {
     next_call_at_ = context_.now + context_.random.up_to(kFirstCallSpread);
   } else {
     watching_ = true;
     backoff_ = kSecond;
   }
-  if (event.form != ListForm::changes)
+  if (event.kind != EndpointListKind::changes)
     for (Backend& backend : backends_) backend.listed = false;
   if (event.entries)
     for (const BackendEntry& entry : *event.entries) apply(entry);
@@ -68,7 +68,7 @@
   if (!context_.settings.ask_registry || watching_ || call_in_flight_ || context_.now < next_call_at_) return;
   call_in_flight_ = true;
   called_at_ = context_.now;
-  context_.emit(Track{});
+  context_.emit(WatchEndpoints{});
 }
 
 }  // namespace marblehub::policy
--- a/src/policy/discovery/endpoint_list.h
+++ b/src/policy/discovery/endpoint_list.h
@@ -13,7 +13,7 @@
   EndpointList(Context& context, BackendTable& backends) : context_(context), backends_(backends) {}
 
   /// Takes a list, a change of it, or the news that the call for one has failed.
-  void on(const MembersEvent& event);
+  void on(const EndpointListEvent& event);
 
   /// Asks for the list where it has to be asked for, no watch is open and the backoff is over.
   void poll();
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -59,7 +59,7 @@
     s.balancers = balancers;
     for (s.me = 0; s.me < balancers; ++s.me) {
       fleet_.push_back(std::make_unique<Bench>(s, seed * 1000 + static_cast<std::uint64_t>(s.me)));
-      fleet_.back()->list(ListForm::all, listed);
+      fleet_.back()->list(EndpointListKind::full, listed);
     }
   }
 
@@ -93,7 +93,7 @@
         if (leaves(static_cast<int>(i))) lose(static_cast<int>(i));
     if (now_ == kBack) workers_[1].up = true, workers_[1].entry.start_time = now_;
     if (now_ == kListed)
-      for (auto& b : fleet_) b->list(ListForm::changes, {workers_[1].entry});
+      for (auto& b : fleet_) b->list(EndpointListKind::changes, {workers_[1].entry});
   }
 
   // Its clients come back at once, each to any balancer.
--- a/tests/crossings/discovery_test.cpp
+++ b/tests/crossings/discovery_test.cpp
@@ -25,12 +25,12 @@
 // Each call fails `out` after it was made, `span` long; the times of the calls.
 std::vector<Time> calls_while_down(std::uint64_t seed, Time out, Time span) {
   Bench bench(asked(), seed);
-  bench.list(ListForm::remembered, workers(2));
+  bench.list(EndpointListKind::cached, workers(2));
   std::size_t failed = 0;
   while (bench.now < span) {
     bench.run(kSweep);
     if (bench.tracks.size() > failed && bench.now >= bench.tracks.back() + out) {
-      bench.handle(MembersEvent{ListForm::refused, nullptr});
+      bench.handle(EndpointListEvent{EndpointListKind::failed, nullptr});
       ++failed;
     }
   }
@@ -56,14 +56,14 @@
 TEST_CASE("A watch that fell silent is asked again before what it misses counts, whatever failed before") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Bench bench(asked(), seed);
-    bench.list(ListForm::remembered, workers(2));
+    bench.list(EndpointListKind::cached, workers(2));
     for (int failed = 0; failed < 5; ++failed) {
       while (bench.tracks.size() <= static_cast<std::size_t>(failed)) bench.run(kSweep);
-      bench.handle(MembersEvent{ListForm::refused, nullptr});
+      bench.handle(EndpointListEvent{EndpointListKind::failed, nullptr});
     }
     while (bench.tracks.size() < 6) bench.run(kSweep);
     bench.run(kWatchGivenUp);
-    bench.handle(MembersEvent{ListForm::refused, nullptr});
+    bench.handle(EndpointListEvent{EndpointListKind::failed, nullptr});
     while (bench.tracks.size() < 7) bench.run(kSweep);
     INFO("seed " << seed);
     CHECK(bench.tracks[6] - bench.tracks[5] <= kWatchCounts - 2 * kSweep);
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -101,7 +101,7 @@
   std::map<int, int> probes;
   for (int told : {2, 10, 50}) {
     Bench b(s);
-    b.list(ListForm::all, twelve());
+    b.list(EndpointListKind::full, twelve());
     probes_in(b, 100 * kMinute);
     b.balancer.shared_by(told);
     probes[told] = probes_in(b, 10 * kMinute);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -30,7 +30,7 @@
   auto all = fleet(s);
   double calls = 0, probes = 0;
   for (auto& b : all) {
-    b->list(ListForm::all, twelve());
+    b->list(EndpointListKind::full, twelve());
     for (int second = 0; second < 30; ++second) {
       if (second % 12 == 3) b->ask(), calls += 1;
       std::size_t answered = b->probes.size();
@@ -56,7 +56,7 @@
   Settings s = dear_probes();
   s.balancers = kBalancers;
   Bench b(s);
-  b.list(ListForm::all, {Bench::entry("1", Health::serving)});
+  b.list(EndpointListKind::full, {Bench::entry("1", Health::serving)});
   for (int i = 0; i < 3; ++i) b.handle(ProbeResultEvent{"1", 500'000, Outcome::timeout, {}});
   REQUIRE(b.balancer.down().size() == 1);
   for (int second = 0; second < 60 && !b.balancer.down().empty(); ++second) {
@@ -75,7 +75,7 @@
   std::map<std::uint64_t, std::set<std::string>> by_group;
   auto all = fleet(s);
   for (std::size_t i = 0; i < all.size(); ++i) {
-    all[i]->list(ListForm::all, twelve());
+    all[i]->list(EndpointListKind::full, twelve());
     for (std::uint64_t call = 0; call < 2; ++call) {
       std::uint64_t group = 1 + (i + call) % 5;
       by_group[group].insert(all[i]->ask(group));
@@ -98,7 +98,7 @@
   int on_big = 0;
   auto all = fleet(s, 300);
   for (auto& b : all) {
-    b->list(ListForm::all, ninety);
+    b->list(EndpointListKind::full, ninety);
     std::string worker = b->ask(7);
     home.insert(worker);
     on_big += std::stoi(worker.substr(1)) % 3 == 0;
@@ -119,7 +119,7 @@
   Settings s = Bench::settings();
   s.balancers = 300;
   Bench b(s);
-  b.list(ListForm::all, twelve());
+  b.list(EndpointListKind::full, twelve());
   b.hold("1", 1);  // one of few: the load of all is reckoned to be a few connections of each balancer
   for (int i = 1; i <= 12; ++i) b.report(std::to_string(i), 0.7);
   b.run(1'000'000);
@@ -136,7 +136,7 @@
   int sent_to_full = 0, asked = 0;
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     Bench b(s, seed);
-    b.list(ListForm::all, {Bench::entry("1", Health::serving), Bench::entry("2", Health::serving)});
+    b.list(EndpointListKind::full, {Bench::entry("1", Health::serving), Bench::entry("2", Health::serving)});
     b.run(10'000'000);
     b.probes.clear();
     b.handle(RequestEvent{900, 0, 2'000'000, 0, false, 0});
@@ -157,7 +157,7 @@
   Settings s = dear_probes();
   s.told_load = false;
   Bench b(s);
-  b.list(ListForm::all, twelve());
+  b.list(EndpointListKind::full, twelve());
   b.run(10'000'000);
   std::size_t before = b.probes.size();
   CHECK(b.ask() != "");
@@ -172,12 +172,12 @@
     int cold = 0;
     for (auto& b : fleet(s)) {
       b->now = 1'000'000;
-      b->list(ListForm::all, twelve());
+      b->list(EndpointListKind::full, twelve());
       b->hold("2", 1);
       b->run(1'000'000);
       BackendEntry young = Bench::entry("1", Health::serving);
       young.start_time = b->now;
-      b->list(ListForm::changes, {young});
+      b->list(EndpointListKind::changes, {young});
       b->run(4'000'000);
       for (int i = 2; i <= 12; ++i) b->report(std::to_string(i), 0.97);  // the others drown
       b->run(50'000);  // who is open to a cold worker is drawn at each sweep
@@ -206,9 +206,9 @@
   std::uint64_t group = 0;
   for (auto& b : fleet(s, 300)) {
     b->now = 1'000'000;
-    b->list(ListForm::all, ninety);
+    b->list(EndpointListKind::full, ninety);
     b->hold("1", 1);
-    b->list(ListForm::changes, young);
+    b->list(EndpointListKind::changes, young);
     b->run(6'000'000);
     for (const BackendEntry& entry : ninety) b->report(entry.address, cold(entry.address) ? 0.2 : 0.97);
     b->run(50'000);
@@ -235,7 +235,7 @@
   std::map<std::uint64_t, std::set<std::string>> by_group;
   for (auto& b : fleet(s, 300)) {
     b->now = 1'000'000;
-    b->list(ListForm::all, young);
+    b->list(EndpointListKind::full, young);
     b->hold("1", 1);
     b->run(6'000'000);
     for (std::uint64_t group = 1; group <= 10; ++group) b->ask(group);
@@ -259,14 +259,15 @@
     for (int me = 0; me < kBalancers; ++me) {
       s.balancers = kBalancers, s.me = me;
       Bench b(s, seed * 1000 + static_cast<std::uint64_t>(me));
-      b.list(ListForm::remembered, twelve());
+      b.list(EndpointListKind::cached, twelve());
       bool told = false;
       for (std::size_t answered = 0; b.now < kTrouble + 10'000'000 && !told;) {
         b.run(50'000);
         for (; answered < b.tracks.size() && !told; ++answered) {
           calls[b.now / 100'000] += 1;
           told = b.now > kTrouble;
-          b.list(told ? ListForm::all : ListForm::refused, told ? twelve() : std::vector<BackendEntry>());
+          b.list(told ? EndpointListKind::full : EndpointListKind::failed,
+                 told ? twelve() : std::vector<BackendEntry>());
         }
       }
       CHECK(told);  // within 10 s of the trouble's end
@@ -288,7 +289,7 @@
     b->now = 1'000'000;
     std::vector<BackendEntry> young = twelve();
     for (BackendEntry& entry : young) entry.start_time = b->now;
-    b->list(ListForm::all, young);
+    b->list(EndpointListKind::full, young);
     for (std::uint64_t id = 1; id <= 4; ++id) {
       b->handle(RequestEvent{id, 0, 2'000'000, 0, true, 0});
       bool stands = false;
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -29,7 +29,7 @@
 class World {
  public:
   explicit World(std::uint64_t seed) : random_(seed), balancer_(settings(), seed, now_) {
-    list(ListForm::remembered);
+    list(EndpointListKind::cached);
   }
 
   std::string run(int steps) {
@@ -74,16 +74,16 @@
     return s;
   }
 
-  void list(ListForm form) {
+  void list(EndpointListKind form) {
     std::vector<BackendEntry> entries;
     for (int b = 0; b < kBackends; ++b) {
-      if (form == ListForm::changes && random_() % 3) continue;
+      if (form == EndpointListKind::changes && random_() % 3) continue;
       Health health = random_() % 5 ? Health::serving : random_() % 2 ? Health::draining : Health::deleted;
       usable_[b] = health == Health::serving;
       Time start = random_() % 4 ? 0 : now_ - static_cast<Time>(random_() % 1'000'000);
       entries.push_back({health, name(b), zone(b), start, 1.0 + static_cast<double>(random_() % 3), b / 2});
     }
-    send(MembersEvent{form, std::make_shared<const std::vector<BackendEntry>>(std::move(entries))});
+    send(EndpointListEvent{form, std::make_shared<const std::vector<BackendEntry>>(std::move(entries))});
   }
 
   void send(const Event& event) {
@@ -182,9 +182,9 @@
     if (tracks_ && random_() % 3 == 0) {
       tracks_ = false;
       if (random_() % 2) {
-        send(MembersEvent{ListForm::refused, nullptr});
+        send(EndpointListEvent{EndpointListKind::failed, nullptr});
       } else {
-        list(ListForm::all);
+        list(EndpointListKind::full);
       }
     }
     switch (random_() % 12) {
@@ -211,7 +211,7 @@
         break;
       }
       case 4:
-        if (random_() % 20 == 0) list(random_() % 2 ? ListForm::all : ListForm::changes);
+        if (random_() % 20 == 0) list(random_() % 2 ? EndpointListKind::full : EndpointListKind::changes);
         break;
       default: {
         if (watched_.empty()) break;
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -7,13 +7,13 @@
 
 TEST_CASE("all clients are told to move off a draining worker, evenly and in time") {
   Bench b;
-  b.list(ListForm::all, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
+  b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 60);
   b.hold("w2", 20);
   b.run(1'000'000);
   REQUIRE(b.moved.empty());
   Time told = b.now;
-  b.list(ListForm::changes, {b.entry("w1", Health::draining)});
+  b.list(EndpointListKind::changes, {b.entry("w1", Health::draining)});
   b.run(5'000'000);
   REQUIRE(b.moved.size() == 60);
   for (auto [id, at] : b.moved) {
@@ -25,23 +25,23 @@
 
 TEST_CASE("a worker that is gone is left as well, and one that comes back is kept") {
   Bench b;
-  b.list(ListForm::all, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
+  b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 10);
-  b.list(ListForm::changes, {b.entry("w1", Health::deleted)});
+  b.list(EndpointListKind::changes, {b.entry("w1", Health::deleted)});
   b.run(4'000'000);
   REQUIRE(b.moved.size() == 10);
   b.hold("w2", 10);
-  b.list(ListForm::changes, {b.entry("w1", Health::serving), b.entry("w2", Health::draining)});
-  b.list(ListForm::changes, {b.entry("w2", Health::serving)});
+  b.list(EndpointListKind::changes, {b.entry("w1", Health::serving), b.entry("w2", Health::draining)});
+  b.list(EndpointListKind::changes, {b.entry("w2", Health::serving)});
   b.run(4'000'000);
   CHECK(b.moved.size() == 10);
 }
 
 TEST_CASE("nobody is moved while there is nowhere to go") {
   Bench b;
-  b.list(ListForm::all, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
+  b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 10);
-  b.list(ListForm::changes, {b.entry("w1", Health::draining), b.entry("w2", Health::draining)});
+  b.list(EndpointListKind::changes, {b.entry("w1", Health::draining), b.entry("w2", Health::draining)});
   b.run(4'000'000);
   CHECK(b.moved.empty());
 }
@@ -50,7 +50,7 @@
 TEST_CASE("a late report brings the next probe within about a second, a good one does not") {
   for (double load : {0.95, 0.2}) {
     Bench b(dear_probes());
-    b.list(ListForm::all, twelve());
+    b.list(EndpointListKind::full, twelve());
     b.hold("1", 10);
     b.run(20'000'000);
     b.handle(ProbeResultEvent{"1", 1000, Outcome::served, {0.2}});
@@ -66,7 +66,7 @@
 
 TEST_CASE("a worker that holds connections at the start is probed within the first second") {
   Bench b(dear_probes());
-  b.list(ListForm::all, twelve());
+  b.list(EndpointListKind::full, twelve());
   b.hold("1", 10);
   b.run(1'050'000);
   CHECK(b.probed("1") == 1);
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -24,7 +24,7 @@
     Settings s = grouped();
     s.balancers = 3, s.me = me;
     Bench b(s, 100 + static_cast<std::uint64_t>(me));
-    b.list(ListForm::all, twelve());
+    b.list(EndpointListKind::full, twelve());
     for (std::uint64_t group = 1; group <= 5; ++group) b.hold("1", 8, group);  // all groups are known
     for (int i = 0; i < 100; ++i) {
       std::uint64_t group = 1 + static_cast<std::uint64_t>(i) % 5;
@@ -41,7 +41,7 @@
 // attempt keeps to them too.
 TEST_CASE("a call that may use some workers only goes to no other, and is refused when they are gone") {
   Bench b;
-  b.list(ListForm::all, twelve());
+  b.list(EndpointListKind::full, twelve());
   auto only = std::make_shared<const std::set<std::string>>(std::set<std::string>{"3", "7"});
   std::set<std::string> used;
   for (int i = 0; i < 60; ++i) {
@@ -53,7 +53,7 @@
     b.run(500'000);
   }
   CHECK(used == std::set<std::string>{"3", "7"});
-  b.list(ListForm::changes, {b.entry("3", Health::deleted), b.entry("7", Health::draining)});
+  b.list(EndpointListKind::changes, {b.entry("3", Health::deleted), b.entry("7", Health::draining)});
   std::uint64_t id = b.next_id++;
   b.handle(RequestEvent{id, 0, 2'000'000, 0, false, 0, only});
   b.run(2'000'000);
@@ -65,7 +65,7 @@
 // for them, and one of the same pool does.
 TEST_CASE("calls of a pool that answers nothing hold no call of another pool back") {
   Bench b;
-  b.list(ListForm::all, workers(4));
+  b.list(EndpointListKind::full, workers(4));
   auto set = [](const char* one, const char* other) {
     return std::make_shared<const std::set<std::string>>(std::set<std::string>{one, other});
   };
@@ -94,7 +94,7 @@
 
 TEST_CASE("where the settings know of no groups, connections spread over all workers") {
   Bench b;
-  b.list(ListForm::all, twelve());
+  b.list(EndpointListKind::full, twelve());
   std::set<std::string> workers;
   for (int i = 0; i < 200; ++i) workers.insert(b.ask(7));
   CHECK(workers.size() == 12);
@@ -102,7 +102,7 @@
 
 TEST_CASE("a group whose workers are late or down goes on to others") {
   Bench b(grouped());
-  b.list(ListForm::all, twelve());
+  b.list(EndpointListKind::full, twelve());
   for (std::uint64_t group = 1; group <= 5; ++group) b.hold("1", 8, group);
   std::set<std::string> home, next;
   for (int i = 0; i < 60; ++i) home.insert(b.ask(3));
@@ -114,7 +114,7 @@
 
 TEST_CASE("a worker that reports little headroom gets few connections") {
   Bench b;
-  b.list(ListForm::all, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
+  b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.report("w1", 0.75);
   b.report("w2", 0.25);
   int fuller = 0;
@@ -129,7 +129,7 @@
 // fleet.
 TEST_CASE("a stuck worker is left within seconds, and no client is refused for it") {
   Bench b;
-  b.list(ListForm::all,
+  b.list(EndpointListKind::full,
          {b.entry("w1", Health::serving), b.entry("w2", Health::serving), b.entry("w3", Health::serving)});
   b.hold("w1", 10);
   b.hold("w2", 10);
@@ -148,7 +148,7 @@
 // A message that hung for half a minute must not shut its worker out for as long again.
 TEST_CASE("signs of slowness are bounded, and end when a worker comes back from being down") {
   Bench b;
-  b.list(ListForm::all, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
+  b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.report("w1", 0.1);
   b.report("w2", 0.1);
   b.hold("w1", 1);
@@ -159,7 +159,7 @@
   CHECK(again >= 20);
 
   Bench c;
-  c.list(ListForm::all, {c.entry("w1", Health::serving), c.entry("w2", Health::serving)});
+  c.list(EndpointListKind::full, {c.entry("w1", Health::serving), c.entry("w2", Health::serving)});
   c.hold("w1", 1);
   c.handle(NoteEvent{1, 0, NoteKind::messages_slow, 30'000});
   for (int i = 0; i < 3; ++i) c.handle(ProbeResultEvent{"w1", 500'000, Outcome::timeout, {}});
@@ -174,7 +174,7 @@
 // A balancer without a free descriptor must not hold its own want against the workers.
 TEST_CASE("a probe that was never sent is no miss") {
   Bench b;
-  b.list(ListForm::all, {b.entry("w1", Health::serving)});
+  b.list(EndpointListKind::full, {b.entry("w1", Health::serving)});
   for (int i = 0; i < 5; ++i) b.handle(ProbeResultEvent{"w1", 0, Outcome::not_sent, {}});
   CHECK(b.balancer.counts().down == 0);
 }
--- a/tests/policy/discovery_test.cpp
+++ b/tests/policy/discovery_test.cpp
@@ -14,15 +14,15 @@
   Settings s = plain_settings();
   s.ask_registry = true;
   Relay relay(s);
-  relay.list({backend(0)}, ListForm::remembered);
+  relay.list({backend(0)}, EndpointListKind::cached);
   relay.run_for(5 * kSec);
   EXPECT_EQ(relay.tracks, 1);
-  relay.send(MembersEvent{ListForm::refused, nullptr});
+  relay.send(EndpointListEvent{EndpointListKind::failed, nullptr});
   relay.run_for(3 * kSec);
   EXPECT_EQ(relay.tracks, 2);
   relay.request();
   EXPECT_EQ(relay.submits.size(), 1u) << "the list held stays in force";
-  relay.list({backend(1)}, ListForm::changes);
+  relay.list({backend(1)}, EndpointListKind::changes);
   relay.run_for(60 * kSec);
   EXPECT_EQ(relay.tracks, 2) << "subscribed: no further call";
 }
@@ -31,13 +31,13 @@
   Settings s = plain_settings();
   s.ask_registry = true;
   Relay relay(s);
-  relay.list({backend(0)}, ListForm::remembered);
+  relay.list({backend(0)}, EndpointListKind::cached);
   Time last = 0, longest = 0;
   for (int i = 0; i < 400; ++i) {
     int before = relay.tracks;
     relay.run_for(100 * kMs);
     if (relay.tracks == before) continue;
-    relay.send(MembersEvent{ListForm::refused, nullptr});
+    relay.send(EndpointListEvent{EndpointListKind::failed, nullptr});
     if (last > 0) longest = std::max(longest, relay.now - last);
     last = relay.now;
   }
@@ -49,7 +49,7 @@
 
 TEST(Discovery, APushedListIsNeverAskedFor) {
   Relay relay(plain_settings());
-  relay.list({backend(0)}, ListForm::remembered);
+  relay.list({backend(0)}, EndpointListKind::cached);
   relay.run_for(20 * kSec);
   EXPECT_EQ(relay.tracks, 0);
 }
--- a/tests/policy/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -73,7 +73,7 @@
   relay.list_of(2);
   for (int i = 0; i < 3; ++i) relay.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
   ASSERT_EQ(relay.balancer.counts().down, 1u);
-  relay.list({backend(0, Health::serving, relay.now)}, ListForm::changes);
+  relay.list({backend(0, Health::serving, relay.now)}, EndpointListKind::changes);
   EXPECT_EQ(relay.balancer.counts().down, 0u);
 }
 
--- a/tests/policy/relay.h
+++ b/tests/policy/relay.h
@@ -84,7 +84,7 @@
       if (auto* x = std::get_if<Redirect>(&a)) redirects.push_back(*x);
       if (auto* x = std::get_if<Probe>(&a)) probes.push_back(x->backend), probed.push_back(x->backend);
       if (auto* x = std::get_if<SetTimer>(&a)) timers.emplace(now + x->after, x->cookie);
-      if (std::holds_alternative<Track>(a)) ++tracks;
+      if (std::holds_alternative<WatchEndpoints>(a)) ++tracks;
     }
     for (const std::string& b : probed) {
       Time t = rtt.count(b) ? rtt[b] : kMs;
@@ -101,8 +101,8 @@
     }
     now = end;
   }
-  void list(std::vector<BackendEntry> entries, ListForm form = ListForm::all) {
-    send(MembersEvent{form, std::make_shared<const std::vector<BackendEntry>>(std::move(entries))});
+  void list(std::vector<BackendEntry> entries, EndpointListKind form = EndpointListKind::full) {
+    send(EndpointListEvent{form, std::make_shared<const std::vector<BackendEntry>>(std::move(entries))});
   }
   void list_of(int n) {
     std::vector<BackendEntry> entries;
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -128,7 +128,7 @@
 TEST(Rules, NothingNewGoesToADrainingOrDeletedBackend) {
   Relay relay(plain_settings());
   relay.list_of(3);
-  relay.list({backend(0, Health::draining), backend(1, Health::deleted)}, ListForm::changes);
+  relay.list({backend(0, Health::draining), backend(1, Health::deleted)}, EndpointListKind::changes);
   for (int i = 0; i < 50; ++i) relay.request();
   ASSERT_EQ(relay.submits.size(), 50u);
   for (const Submit& s : relay.submits) EXPECT_EQ(s.backend, "b2");
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -31,7 +31,7 @@
         for (int k = 0; k < 3; ++k) relay.send(ProbeResultEvent{name_of(i), kMs, Outcome::timeout, {}});
       }
     }
-    relay.list({backend(0, Health::serving, relay.now)}, ListForm::changes);
+    relay.list({backend(0, Health::serving, relay.now)}, EndpointListKind::changes);
     relay.submits.clear();
     for (int i = 0; i < 20; ++i) {  // the two seconds of the window that counts
       for (int k = 0; k < crowd; ++k) relay.request();
--- a/tests/settings/policies.h
+++ b/tests/settings/policies.h
@@ -47,7 +47,7 @@
         Submit{id, may[chance() % may.size()], now + left / (settings.max_attempts - h.attempts + 1)});
   }
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
-    if (auto* e = std::get_if<MembersEvent>(&event)) {
+    if (auto* e = std::get_if<EndpointListEvent>(&event)) {
       if (!e->entries) return;
       for (const BackendEntry& entry : *e->entries) listed[entry.address] = entry.health == Health::serving;
     } else if (auto* r = std::get_if<RequestEvent>(&event)) {
--- a/tests/settings/rules_test.cpp
+++ b/tests/settings/rules_test.cpp
@@ -29,7 +29,7 @@
   bool held =
       under_any_settings("misses", 40, [](const Drawn& d, const std::vector<std::pair<bool, bool>>& deeds) {
         Bench b(d.settings(0), d.seed);
-        b.list(ListForm::all, marblehub::test::workers(3));
+        b.list(EndpointListKind::full, marblehub::test::workers(3));
         int misses = 0;
         for (auto [missed, late] : deeds) {
           Outcome outcome = !missed ? Outcome::served : late ? Outcome::timeout : Outcome::connect_failed;
@@ -44,7 +44,7 @@
 TEST_CASE("under any settings placement is round robin while all workers are down") {
   bool held = under_any_settings("all down", 40, [](const Drawn& d) {
     Bench b(d.settings(0), d.seed);
-    b.list(ListForm::all, marblehub::test::workers(d.workers));
+    b.list(EndpointListKind::full, marblehub::test::workers(d.workers));
     for (int w = 1; w <= d.workers; ++w)
       for (int i = 0; i < 3; ++i)
         b.handle(ProbeResultEvent{std::to_string(w), 500'000, Outcome::timeout, {}});
@@ -63,7 +63,7 @@
 TEST_CASE("under any settings workers are probed periodically, where they may be") {
   bool held = under_any_settings("probes", 40, [](const Drawn& d) {
     Bench b(d.settings(0), d.seed);
-    b.list(ListForm::all, marblehub::test::workers(12));
+    b.list(EndpointListKind::full, marblehub::test::workers(12));
     Time interval = std::max<Time>(5 * kS, d.balancers * kS / 20);
     std::map<std::string, Time> last;
     std::size_t answered = 0;
@@ -91,7 +91,7 @@
         Settings s = d.settings(0);
         s.may_probe = s.groups = false;  // no call waits for a report, and no group decides
         Bench b(s, d.seed + draw);
-        b.list(ListForm::all, marblehub::test::workers(2));
+        b.list(EndpointListKind::full, marblehub::test::workers(2));
         b.handle(ProbeResultEvent{"2", 400'000, Outcome::served, {}});
         for (int i = 0; i < good_ones; ++i) b.handle(ProbeResultEvent{"2", 3000, Outcome::served, {}});
         b.handle(ProbeResultEvent{"1", 3000, Outcome::served, {}});
--- a/tests/settings/simulated_fleet.cpp
+++ b/tests/settings/simulated_fleet.cpp
@@ -40,7 +40,7 @@
       balancers_[i].module = &module->balancer;
       balancers_[i].policy = std::move(module);
     }
-    tell(i, MembersEvent{ListForm::remembered, all});
+    tell(i, EndpointListEvent{EndpointListKind::cached, all});
   }
   next_client();
 }
@@ -231,10 +231,10 @@
   });
 }
 
-void SimulatedFleet::act(std::size_t b, const Track&) {
+void SimulatedFleet::act(std::size_t b, const WatchEndpoints&) {
   if (!drawn_.ask) throw Wrong("a list asked for that is pushed");
   at(now_ + (registry_out_ ? 3 * kS : 20 * kMs), [=, this] {
-    if (registry_out_) return tell(b, MembersEvent{ListForm::refused, nullptr});
+    if (registry_out_) return tell(b, EndpointListEvent{EndpointListKind::failed, nullptr});
     auto all = std::make_shared<std::vector<BackendEntry>>();
     for (std::size_t i = 0; i < workers_.size(); ++i) {
       all->push_back(entry(i));
@@ -244,7 +244,7 @@
         balancers_[b].told.try_emplace(i, now_);
     }
     balancers_[b].watches = true;
-    tell(b, MembersEvent{ListForm::all, all});
+    tell(b, EndpointListEvent{EndpointListKind::full, all});
   });
 }
 
--- a/tests/settings/simulated_fleet.h
+++ b/tests/settings/simulated_fleet.h
@@ -95,7 +95,7 @@
   void act(std::size_t balancer, const Fail& action) { answer(balancer, action.id, 0); }
   void act(std::size_t balancer, const Redirect& action);
   void act(std::size_t balancer, const Probe& action);
-  void act(std::size_t balancer, const Track&);
+  void act(std::size_t balancer, const WatchEndpoints&);
   void act(std::size_t balancer, const SetTimer& action);
   void answer(std::size_t balancer, std::uint64_t id, Time pause);
   void reaches(std::size_t balancer, std::uint64_t id, int attempt);
--- a/tests/settings/simulated_workers.cpp
+++ b/tests/settings/simulated_workers.cpp
@@ -130,7 +130,7 @@
   for (std::size_t i = 0; on && !drawn_.ask && i < workers_.size(); ++i) list_changed(i);  // what was missed
   for (std::size_t b = 0; b < balancers_.size(); ++b)
     if (!on && std::exchange(balancers_[b].watches, false))
-      at(now_ + kMs, [=, this] { tell(b, MembersEvent{ListForm::refused, nullptr}); });
+      at(now_ + kMs, [=, this] { tell(b, EndpointListEvent{EndpointListKind::failed, nullptr}); });
 }
 
 // Told to each balancer in its own time, if it is reached by then.
@@ -142,8 +142,8 @@
         balancers_[b].told.erase(worker);
       else
         balancers_[b].told.try_emplace(worker, now_);
-      tell(b, MembersEvent{ListForm::changes,
-                           std::make_shared<std::vector<BackendEntry>>(std::vector{entry(worker)})});
+      tell(b, EndpointListEvent{EndpointListKind::changes,
+                                std::make_shared<std::vector<BackendEntry>>(std::vector{entry(worker)})});
     });
 }
 
--- a/tests/support/module_bench.h
+++ b/tests/support/module_bench.h
@@ -29,8 +29,8 @@
     return s;
   }
   static BackendEntry entry(const std::string& name, Health health) { return {health, name, "a", 0, 1, 0}; }
-  void list(ListForm form, std::vector<BackendEntry> entries) {
-    handle(MembersEvent{form, std::make_shared<std::vector<BackendEntry>>(std::move(entries))});
+  void list(EndpointListKind form, std::vector<BackendEntry> entries) {
+    handle(EndpointListEvent{form, std::make_shared<std::vector<BackendEntry>>(std::move(entries))});
   }
   void handle(const Event& event) {
     std::vector<Action> actions;
@@ -44,7 +44,7 @@
       if (auto* probe = std::get_if<Probe>(&action)) probes.emplace_back(now, probe->backend);
       if (auto* sent = std::get_if<Submit>(&action)) placed[sent->id] = sent->backend;
       if (auto* refusal = std::get_if<Reject>(&action)) rejected.push_back(refusal->id);
-      if (std::holds_alternative<Track>(action)) tracks.push_back(now);
+      if (std::holds_alternative<WatchEndpoints>(action)) tracks.push_back(now);
     }
   }
   void run(Time span) {
