--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -297,13 +297,13 @@
     e.report = fields.report();
     event = std::move(e);
   } else if (verb == "interim") {
-    NoteEvent e;
+    ConnectionUpdateEvent e;
     e.id = fields.number<std::uint64_t>("a request id");
     e.attempt = fields.number<int>("an attempt number");
-    e.kind =
-        fields.choice<NoteKind>("1 or 2", {{"1", NoteKind::load_changed}, {"2", NoteKind::messages_slow}});
+    e.kind = fields.choice<ConnectionUpdateKind>(
+        "1 or 2", {{"1", ConnectionUpdateKind::load_changed}, {"2", ConnectionUpdateKind::messages_slow}});
     fields.text("a backend");
-    e.level = fields.number<double>("a level");
+    e.value = fields.number<double>("a level");
     event = e;
   } else if (verb == "ring") {
     event = TimerEvent{fields.number<std::uint64_t>("a cookie")};
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -159,14 +159,14 @@
 };
 
 /// What a note tells of.
-enum class NoteKind { load_changed, messages_slow };
+enum class ConnectionUpdateKind { load_changed, messages_slow };
 
 /// News of a standing connection.
-struct NoteEvent {
+struct ConnectionUpdateEvent {
   std::uint64_t id = 0;
   int attempt = 0;
-  NoteKind kind = NoteKind::load_changed;
-  double level = 0;  // load_changed: work a second in microseconds; messages_slow: milliseconds a message
+  ConnectionUpdateKind kind = ConnectionUpdateKind::load_changed;
+  double value = 0;  // load_changed: work a second in microseconds; messages_slow: milliseconds a message
 };
 
 /// A timer that the policy has set is due.
@@ -180,7 +180,7 @@
 };
 
 using Event = std::variant<EndpointListEvent, RequestEvent, HandoverEvent, EstablishedEvent, ResultEvent,
-                           ProbeResultEvent, NoteEvent, TimerEvent, ClientGoneEvent>;
+                           ProbeResultEvent, ConnectionUpdateEvent, TimerEvent, ClientGoneEvent>;
 
 // ---- Actions
 
--- a/src/core/dispatcher_timers.cpp
+++ b/src/core/dispatcher_timers.cpp
@@ -82,13 +82,14 @@
   log::debug("messages at {} take {} ms, told as {} ms", exchange.worker_, delay / kMillisecond,
              *news / kMillisecond);
   counters_.slow_notes.add();
-  notify(NoteEvent{exchange.id_, exchange.attempts_ - 1, NoteKind::messages_slow,
-                   static_cast<double>(*news) / kMillisecond});
+  notify(ConnectionUpdateEvent{exchange.id_, exchange.attempts_ - 1, ConnectionUpdateKind::messages_slow,
+                               static_cast<double>(*news) / kMillisecond});
 }
 
 void Dispatcher::load_changed(Exchange& exchange, double load) {
   if (watch_) watch_->load_is(exchange.id_, load);
-  notify(NoteEvent{exchange.id_, exchange.attempts_ - 1, NoteKind::load_changed, load});
+  notify(
+      ConnectionUpdateEvent{exchange.id_, exchange.attempts_ - 1, ConnectionUpdateKind::load_changed, load});
 }
 
 // What the policy hears of the fleet beside its list, and the gate of the workers.
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -229,14 +229,14 @@
     limiter_of(request).fail(request.sent_at, parts_.context.now, parts_.rules.class_of(request).slo_us);
 }
 
-void RequestHandler::on(const NoteEvent& event) {
+void RequestHandler::on(const ConnectionUpdateEvent& event) {
   Request* request = parts_.requests.find_in_flight(event.id, event.attempt);
   if (!request) return;
   Backend& backend = parts_.backends[request->backend];
-  if (event.kind == NoteKind::messages_slow) {
-    parts_.delays.observe(backend, event.level);
-  } else if (event.level > 0) {
-    double load = event.level / learn_usual_load(event.level);
+  if (event.kind == ConnectionUpdateKind::messages_slow) {
+    parts_.delays.observe(backend, event.value);
+  } else if (event.value > 0) {
+    double load = event.value / learn_usual_load(event.value);
     if (request->counted) backend.load = std::max(0.0, backend.load + load - request->load);
     request->load = load;
   }
--- a/src/policy/requests/request_handler.h
+++ b/src/policy/requests/request_handler.h
@@ -37,7 +37,7 @@
   void on(const HandoverEvent& event);
   void on(const EstablishedEvent& event);
   void on(const ResultEvent& event);
-  void on(const NoteEvent& event);
+  void on(const ConnectionUpdateEvent& event);
   void on(const ClientGoneEvent& event);
 
   /// Places held requests, and answers those whose time is up; once a sweep.
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -227,8 +227,10 @@
           w.open = true;
           send(EstablishedEvent{it->first, attempt, 900});
         } else if (w.open && random_() % 2) {
-          send(NoteEvent{it->first, attempt, random_() % 2 ? NoteKind::load_changed : NoteKind::messages_slow,
-                         static_cast<double>(random_() % 400)});
+          send(ConnectionUpdateEvent{
+              it->first, attempt,
+              random_() % 2 ? ConnectionUpdateKind::load_changed : ConnectionUpdateKind::messages_slow,
+              static_cast<double>(random_() % 400)});
         } else if (random_() % 15 == 0) {
           w.answered = true;
           send(ClientGoneEvent{it->first});
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -152,7 +152,7 @@
   b.report("w1", 0.1);
   b.report("w2", 0.1);
   b.hold("w1", 1);
-  b.handle(NoteEvent{1, 0, NoteKind::messages_slow, 30'000});
+  b.handle(ConnectionUpdateEvent{1, 0, ConnectionUpdateKind::messages_slow, 30'000});
   b.run(40'000'000);
   int again = 0;
   for (int i = 0; i < 100; ++i) again += b.ask() == "w1";
@@ -161,7 +161,7 @@
   Bench c;
   c.list(EndpointListKind::full, {c.entry("w1", Health::serving), c.entry("w2", Health::serving)});
   c.hold("w1", 1);
-  c.handle(NoteEvent{1, 0, NoteKind::messages_slow, 30'000});
+  c.handle(ConnectionUpdateEvent{1, 0, ConnectionUpdateKind::messages_slow, 30'000});
   for (int i = 0; i < 3; ++i) c.handle(ProbeResultEvent{"w1", 500'000, Outcome::timeout, {}});
   REQUIRE(c.balancer.counts().down == 1);
   c.report("w1", 0.1);
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -46,7 +46,8 @@
     relay.send(HandoverEvent{{.id = ids.back(), .request_class = 0, .expires_in = 0}, name_of(i % 4)});
   }
   for (int i = 0; i < 50; ++i) {
-    for (std::uint64_t id : ids) relay.send(NoteEvent{id, 0, NoteKind::messages_slow, 500});
+    for (std::uint64_t id : ids)
+      relay.send(ConnectionUpdateEvent{id, 0, ConnectionUpdateKind::messages_slow, 500});
     relay.run_for(100 * kMs);
   }
   relay.rejections.clear();
@@ -76,7 +77,7 @@
   for (int i = 0; i < 400; ++i) {
     std::uint64_t id = relay.next_id;
     if (relay.place_and_open() == name_of(0)) on_b0 = id;
-    if (on_b0 > 0) relay.send(NoteEvent{on_b0, 0, NoteKind::messages_slow, 500});
+    if (on_b0 > 0) relay.send(ConnectionUpdateEvent{on_b0, 0, ConnectionUpdateKind::messages_slow, 500});
     relay.run_for(50 * kMs);
   }
   EXPECT_TRUE(relay.rejections.empty());
--- a/tests/policy/discovery_test.cpp
+++ b/tests/policy/discovery_test.cpp
@@ -59,7 +59,7 @@
   relay.list_of(2);
   relay.send(ResultEvent{.id = 5, .backend = {}, .outcome = Outcome::timeout, .report = {}});
   relay.send(EstablishedEvent{6, 0, 0});
-  relay.send(NoteEvent{7, 0, NoteKind::messages_slow, 1});
+  relay.send(ConnectionUpdateEvent{7, 0, ConnectionUpdateKind::messages_slow, 1});
   relay.send(ClientGoneEvent{8});
   std::size_t timers = relay.timers.size();
   relay.send(TimerEvent{123});
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -140,7 +140,7 @@
   std::string slow = relay.place_and_open(&id);
   int there = 0;
   for (int i = 0; i < 100; ++i) {
-    relay.send(NoteEvent{id, 0, NoteKind::messages_slow, 90});
+    relay.send(ConnectionUpdateEvent{id, 0, ConnectionUpdateKind::messages_slow, 90});
     relay.request();
     there += relay.submits.back().backend == slow;
   }
--- a/tests/settings/simulated_fleet.cpp
+++ b/tests/settings/simulated_fleet.cpp
@@ -151,7 +151,7 @@
   if (!balancers_[b].ended.empty() && chance_() % 2) id = *balancers_[b].ended.begin();
   tell(b, ResultEvent{id, 0, false, "w1", 5 * kMs, Outcome::error, {0.9}});
   tell(b, EstablishedEvent{id, 0, kMs});
-  tell(b, NoteEvent{id, 0, NoteKind::messages_slow, 1e9});
+  tell(b, ConnectionUpdateEvent{id, 0, ConnectionUpdateKind::messages_slow, 1e9});
   tell(b, ClientGoneEvent{id});
   tell(b, ProbeResultEvent{"nobody", kMs, Outcome::served, {0.1}});
   tell(b, TimerEvent{77});
--- a/tests/settings/simulated_workers.cpp
+++ b/tests/settings/simulated_workers.cpp
@@ -65,9 +65,10 @@
   at(now_ + 2 * kS, [=, this] {
     Call* c = call(b, id);
     if (!c || !c->open || c->answered) return;
-    tell(b, NoteEvent{id, attempt, NoteKind::load_changed, c->client->load * 1000});
+    tell(b, ConnectionUpdateEvent{id, attempt, ConnectionUpdateKind::load_changed, c->client->load * 1000});
     double now_at = level(workers_[c->worker]);
-    if (now_at > 0.9) tell(b, NoteEvent{id, attempt, NoteKind::messages_slow, 60 * now_at});
+    if (now_at > 0.9)
+      tell(b, ConnectionUpdateEvent{id, attempt, ConnectionUpdateKind::messages_slow, 60 * now_at});
   });
 }
 
