--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -15,7 +15,7 @@
   s.max_retry_after_us = 1'000'000;
   s.groups = state.range(1) != 0;
   RequestClass c;
-  c.name = "telemetry", c.slo_us = 500'000, c.message_aim_us = 150'000, c.stream = true;
+  c.name = "telemetry", c.slo_us = 500'000, c.message_objective_us = 150'000, c.stream = true;
   s.classes = {c};
   Balancer balancer(s, 7, 0);
   auto entries = std::make_shared<std::vector<BackendEntry>>();
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -39,26 +39,26 @@
 /// What is common to the requests of one class.
 struct RequestClass {
   std::string name;
-  Time slo_us = 0;          // an answer within this earns the full worth
-  Time message_aim_us = 0;  // wanted time of a message on an open connection; 0: none stated
+  Time slo_us = 0;                // an answer within this earns the full worth
+  Time message_objective_us = 0;  // wanted time of a message on an open connection; 0: none stated
   Repeat repeat = Repeat::safe;
   DedupScope dedup_scope = DedupScope::all;
-  Time window_us = 0;   // keyed: how long repeats are remembered
-  bool stream = false;  // a connection: Established arrives once it stands
+  Time dedup_window_us = 0;  // keyed: how long repeats are remembered
+  bool stream = false;       // a connection: Established arrives once it stands
 };
 
 /// What a balancer is told once, for its life. Times in microseconds.
 struct Settings {
-  int balancers = 1;  // relays in this tier, this one included
-  int me = 0;         // this relay's number among them, from 0
+  int balancers = 1;       // relays in this tier, this one included
+  int balancer_index = 0;  // this relay's number among them, from 0
   std::string zone;
-  bool ask_registry = false;  // the backend list must be asked for
-  bool groups = false;        // a backend that holds any connection of a group pays for the group once
+  bool pull_endpoints = false;  // the backend list must be asked for
+  bool groups = false;          // a backend that holds any connection of a group pays for the group once
   std::vector<RequestClass> classes;
 
   int max_attempts = 1;
   bool may_probe = true;
-  bool told_load = true;  // by probes or answers; else a probe says only that a backend lives
+  bool load_reported = true;  // by probes or answers; else a probe says only that a backend lives
   bool may_send_retry_after = true;
   Time max_retry_after_us = 0;  // the longest pause that a client honours
   Time connect_timeout_us = 250000;
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -10,13 +10,14 @@
 Settings settings_from(const Options& options) {
   Settings s;
   s.balancers = options.number<int>("balancers", 1);
-  s.me = options.number<int>("me", 0);
+  s.balancer_index = options.number<int>("me", 0);
   s.zone = options.text("zone");
-  s.ask_registry = options.choice<bool>("registry_mode", {{"push", false}, {"ask", true}});
+  s.pull_endpoints = options.choice<bool>("registry_mode", {{"push", false}, {"ask", true}});
   if (options.find("specifics.groups")) s.groups = options.flag("specifics.groups");
   s.max_attempts = options.number<int>("limits.max_attempts", 1);
   s.may_probe = options.flag("limits.probes");
-  if (const std::string* how = options.find("report.how")) s.told_load = *how != "silent" && *how != "none";
+  if (const std::string* how = options.find("report.how"))
+    s.load_reported = *how != "silent" && *how != "none";
   s.may_send_retry_after = options.flag("limits.retry_after");
   s.max_retry_after_us = options.number<Time>("limits.max_retry_after_us", 0);
   s.connect_timeout_us = options.number<Time>("limits.connect_timeout_us", 0);
@@ -47,9 +48,9 @@
     c.dedup_scope = options.choice<DedupScope>(
         path + "dedup_scope",
         {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-    c.window_us = options.number<Time>(path + "window_us", 0);
+    c.dedup_window_us = options.number<Time>(path + "window_us", 0);
     c.stream = options.flag(path + "stream");
-    if (static_cast<std::size_t>(i) < aims.size()) c.message_aim_us = static_cast<Time>(aims[i]);
+    if (static_cast<std::size_t>(i) < aims.size()) c.message_objective_us = static_cast<Time>(aims[i]);
     s.classes.push_back(std::move(c));
   }
   if (auto error = validate(s)) options.refuse(error->key, "another value");
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -119,7 +119,7 @@
 
   // Where lists are pushed, the module asks for none: what the agent of this machine has counts as told, so a
   // watch is held open all the time.
-  bool list_is_pushed() const { return !startup_.settings.ask_registry; }
+  bool list_is_pushed() const { return !startup_.settings.pull_endpoints; }
 
   void list_refused() {
     dispatcher_.list_failed();
--- a/src/model/host.cpp
+++ b/src/model/host.cpp
@@ -21,9 +21,9 @@
       workers_side_(std::make_unique<WorkerPort>(*this)) {
   marblehub::policy::Settings& s = startup_.settings;
   s.balancers = scenario.balancers;
-  s.me = static_cast<int>(number);
+  s.balancer_index = static_cast<int>(number);
   s.zone = "a";
-  s.ask_registry = true;
+  s.pull_endpoints = true;
   s.groups = scenario.groups > 0;
   s.max_attempts = scenario.attempts;
   s.max_retry_after_us = 1'500'000;
@@ -33,7 +33,7 @@
   marblehub::policy::RequestClass c;
   c.name = "standing";
   c.slo_us = scenario.slo;
-  c.message_aim_us = scenario.aim;
+  c.message_objective_us = scenario.aim;
   c.stream = true;
   s.classes = {c};
   startup_.seed = Stream(seed, Purpose::module, number).bits();
--- a/src/policy/discovery/endpoint_list.cpp
+++ b/src/policy/discovery/endpoint_list.cpp
@@ -65,7 +65,8 @@
 }
 
 void EndpointList::poll() {
-  if (!context_.settings.ask_registry || watching_ || call_in_flight_ || context_.now < next_call_at_) return;
+  if (!context_.settings.pull_endpoints || watching_ || call_in_flight_ || context_.now < next_call_at_)
+    return;
   call_in_flight_ = true;
   called_at_ = context_.now;
   context_.emit(WatchEndpoints{});
--- a/src/policy/discovery/fleet_sample.cpp
+++ b/src/policy/discovery/fleet_sample.cpp
@@ -34,7 +34,7 @@
 void choose_sample(const Settings& settings, BackendTable& backends) {
   const std::vector<int> listed = listed_by_zone(backends);
   const double part = sampled_part(settings, listed.size());
-  const double step = settings.me * kGoldenRatio;
+  const double step = settings.balancer_index * kGoldenRatio;
   std::vector<int>& sampled = backends.sampled();
   sampled.clear();
   for (std::size_t from = 0, to = 0; from < listed.size(); from = to) {
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -87,7 +87,7 @@
   if (settings.price_probe <= 0 || request.report_waits >= kMostReportWaits) return false;
   if (context.now - backend.report_at < fresh_for) return false;
   if (!settings.may_probe || (!backend.probe_in_flight && parts_.prober.budget_left() < 1)) return false;
-  if ((backend.down && !warming) || !settings.told_load) return false;  // in its turn; no report comes
+  if ((backend.down && !warming) || !settings.load_reported) return false;  // in its turn; no report comes
   request.report_waits += 1;
   request.report_wait_until = context.now + kReportWait;
   if (!backend.probe_in_flight) parts_.prober.probe(backend);
--- a/src/policy/requests/retry_rules.cpp
+++ b/src/policy/requests/retry_rules.cpp
@@ -6,7 +6,7 @@
   if (repeats_freely(request)) return true;
   const RequestClass& request_class = class_of(request);
   return request_class.repeat == Repeat::keyed &&
-         context_.now <= request.may_have_run_at + request_class.window_us;
+         context_.now <= request.may_have_run_at + request_class.dedup_window_us;
 }
 
 bool RetryRules::allowed(const Backend& backend, const Request& request) const {
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -8,7 +8,7 @@
   constexpr Time where_none_is_stated = 50'000;
   Time shortest = 0;
   for (const RequestClass& request_class : settings.classes) {
-    Time objective = request_class.message_aim_us;
+    Time objective = request_class.message_objective_us;
     if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
   }
   return shortest > 0 ? shortest : where_none_is_stated;
@@ -29,8 +29,8 @@
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     std::string path = "request_classes." + std::to_string(i) + ".";
     if (s.classes[i].slo_us < 0) return SettingsError{path + "slo_us"};
-    if (s.classes[i].window_us < 0) return SettingsError{path + "window_us"};
-    if (s.classes[i].message_aim_us < 0) return SettingsError{"specifics.message_aim_us"};
+    if (s.classes[i].dedup_window_us < 0) return SettingsError{path + "window_us"};
+    if (s.classes[i].message_objective_us < 0) return SettingsError{"specifics.message_aim_us"};
   }
   return std::nullopt;
 }
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -13,7 +13,7 @@
 
 Fleet fleet_of(const config::Startup& startup) {
   const marblehub::policy::Settings& s = startup.settings;
-  return {s.balancers, s.me, s.cold_share, s.warm_within_us, startup.seed ^ kOwnSeed};
+  return {s.balancers, s.balancer_index, s.cold_share, s.warm_within_us, startup.seed ^ kOwnSeed};
 }
 
 }  // namespace
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -57,8 +57,9 @@
     s.groups = true;
     s.price_probe = 0.0018;
     s.balancers = balancers;
-    for (s.me = 0; s.me < balancers; ++s.me) {
-      fleet_.push_back(std::make_unique<Bench>(s, seed * 1000 + static_cast<std::uint64_t>(s.me)));
+    for (s.balancer_index = 0; s.balancer_index < balancers; ++s.balancer_index) {
+      fleet_.push_back(
+          std::make_unique<Bench>(s, seed * 1000 + static_cast<std::uint64_t>(s.balancer_index)));
       fleet_.back()->list(EndpointListKind::full, listed);
     }
   }
--- a/tests/crossings/discovery_test.cpp
+++ b/tests/crossings/discovery_test.cpp
@@ -18,7 +18,7 @@
 
 Settings asked() {
   Settings s = Bench::settings();
-  s.ask_registry = true;
+  s.pull_endpoints = true;
   return s;
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -15,7 +15,7 @@
 std::vector<std::unique_ptr<Bench>> fleet(Settings s = Bench::settings(), int balancers = kBalancers) {
   std::vector<std::unique_ptr<Bench>> all;
   for (int me = 0; me < balancers; ++me) {
-    s.balancers = balancers, s.me = me;
+    s.balancers = balancers, s.balancer_index = me;
     all.push_back(std::make_unique<Bench>(s, 1000 + static_cast<std::uint64_t>(me)));
   }
   return all;
@@ -155,7 +155,7 @@
 // Where no report ever comes, a call that asks first only waits, twice 30 ms, and pays for two probes.
 TEST_CASE("a call is sent at once where the settings say that probes tell no load") {
   Settings s = dear_probes();
-  s.told_load = false;
+  s.load_reported = false;
   Bench b(s);
   b.list(EndpointListKind::full, twelve());
   b.run(10'000'000);
@@ -251,13 +251,13 @@
 // after.
 TEST_CASE("a registry that refuses a hundred balancers is called ever less, never in step, and found again") {
   Settings s = Bench::settings();
-  s.ask_registry = true;
+  s.pull_endpoints = true;
   std::map<Time, int> calls;  // by tenths of a second
   constexpr Time kTrouble = 20'000'000;
   for (std::uint64_t seed = 0; seed < 5; ++seed) {
     calls.clear();
     for (int me = 0; me < kBalancers; ++me) {
-      s.balancers = kBalancers, s.me = me;
+      s.balancers = kBalancers, s.balancer_index = me;
       Bench b(s, seed * 1000 + static_cast<std::uint64_t>(me));
       b.list(EndpointListKind::cached, twelve());
       bool told = false;
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -59,14 +59,14 @@
   static Settings settings() {
     Settings s;
     s.balancers = 20;
-    s.me = 3;
+    s.balancer_index = 3;
     s.zone = "x";
     s.max_attempts = 4;
     s.max_retry_after_us = 1'000'000;
     s.cold_share = 0.3;
     s.warm_within_us = 5'000'000;
     s.price_probe = 0.002;
-    s.ask_registry = true;
+    s.pull_endpoints = true;
     for (bool stream : {true, false})
       for (Repeat repeat : {Repeat::safe, Repeat::keyed, Repeat::unsafe})
         for (DedupScope scope : {DedupScope::all, DedupScope::zone, DedupScope::cell})
@@ -112,7 +112,7 @@
         const RequestClass& c = w.request_class;
         EXPECT_NE(c.repeat, Repeat::unsafe);
         if (c.repeat != Repeat::keyed) continue;
-        EXPECT_LE(now_ - t.sent, c.window_us);
+        EXPECT_LE(now_ - t.sent, c.dedup_window_us);
         EXPECT_TRUE(c.dedup_scope != DedupScope::zone || zone(t.backend) == zone(b));
         EXPECT_TRUE(c.dedup_scope != DedupScope::cell || t.backend / 2 == b / 2);
       }
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -22,7 +22,7 @@
   std::map<std::uint64_t, std::set<std::string>> by_group;
   for (int me = 0; me < 3; ++me) {
     Settings s = grouped();
-    s.balancers = 3, s.me = me;
+    s.balancers = 3, s.balancer_index = me;
     Bench b(s, 100 + static_cast<std::uint64_t>(me));
     b.list(EndpointListKind::full, twelve());
     for (std::uint64_t group = 1; group <= 5; ++group) b.hold("1", 8, group);  // all groups are known
--- a/tests/policy/discovery_test.cpp
+++ b/tests/policy/discovery_test.cpp
@@ -12,7 +12,7 @@
 
 TEST(Discovery, AskedOnceThenAgainAfterARefusalEachTimeLater) {
   Settings s = plain_settings();
-  s.ask_registry = true;
+  s.pull_endpoints = true;
   Relay relay(s);
   relay.list({backend(0)}, EndpointListKind::cached);
   relay.run_for(5 * kSec);
@@ -29,7 +29,7 @@
 
 TEST(Discovery, RefusedAgainAndAgainTheCallsGrowRareButNeverTooRare) {
   Settings s = plain_settings();
-  s.ask_registry = true;
+  s.pull_endpoints = true;
   Relay relay(s);
   relay.list({backend(0)}, EndpointListKind::cached);
   Time last = 0, longest = 0;
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -185,7 +185,7 @@
   s.balancers = 100;
   std::map<std::string, int> relays_at;
   for (int me = 0; me < 100; ++me) {
-    s.me = me;
+    s.balancer_index = me;
     Relay relay(s, 50 + me);
     relay.list_of(80);
     std::set<std::string> used;
--- a/tests/policy/relay.h
+++ b/tests/policy/relay.h
@@ -21,10 +21,10 @@
   RequestClass c;
   c.name = "c";
   c.slo_us = 300 * kMs;
-  c.message_aim_us = 100 * kMs;
+  c.message_objective_us = 100 * kMs;
   c.repeat = repeat;
   c.dedup_scope = scope;
-  c.window_us = 1 * kSec;
+  c.dedup_window_us = 1 * kSec;
   c.stream = true;
   return c;
 }
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -114,7 +114,7 @@
 TEST(Rules, AKeyedRequestIsNotRepeatedPastItsWindow) {
   Settings s = plain_settings();
   s.classes[0] = stream_class(Repeat::keyed);
-  s.classes[0].window_us = 100 * kMs;
+  s.classes[0].dedup_window_us = 100 * kMs;
   Relay relay(s);
   relay.list_of(4);
   std::uint64_t id = relay.request();
--- a/tests/settings/drawn.h
+++ b/tests/settings/drawn.h
@@ -34,9 +34,9 @@
 
   Settings settings(int me) const {
     Settings s;
-    s.balancers = balancers, s.me = me, s.zone = zone(me);
-    s.ask_registry = ask, s.groups = groups, s.may_probe = may_probe;
-    s.told_load = reports != ReportMode::none;
+    s.balancers = balancers, s.balancer_index = me, s.zone = zone(me);
+    s.pull_endpoints = ask, s.groups = groups, s.may_probe = may_probe;
+    s.load_reported = reports != ReportMode::none;
     s.max_attempts = attempts, s.may_send_retry_after = pauses, s.max_retry_after_us = 1'000'000;
     s.price_probe = price_probe, s.price_cross_zone = price_cross;
     s.cold_share = cold_share, s.warm_within_us = 24'000'000;
@@ -44,7 +44,7 @@
       RequestClass c;
       c.name = "c" + std::to_string(i), c.stream = true;
       c.slo_us = classes == 1 ? 500'000 : 300'000;
-      c.message_aim_us = classes == 1 ? 150'000 : i < 2 ? 60'000 : 100'000;
+      c.message_objective_us = classes == 1 ? 150'000 : i < 2 ? 60'000 : 100'000;
       s.classes.push_back(c);
     }
     return s;
--- a/tests/support/module_bench.h
+++ b/tests/support/module_bench.h
@@ -24,7 +24,7 @@
     s.warm_within_us = 24'000'000;
     s.cold_share = 0.13;
     RequestClass c;
-    c.name = "telemetry", c.slo_us = 500'000, c.message_aim_us = 150'000, c.stream = true;
+    c.name = "telemetry", c.slo_us = 500'000, c.message_objective_us = 150'000, c.stream = true;
     s.classes = {c};
     return s;
   }
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -113,7 +113,7 @@
 
 void check_start(const Options& options, const std::string& folder, Findings& findings) {
   Startup startup = startup_from(options);
-  if (startup.settings.me >= startup.settings.balancers)
+  if (startup.settings.balancer_index >= startup.settings.balancers)
     findings.errors.emplace_back("setting settings.me: expected a number below settings.balancers");
   for (const auto& [name, kind] : {std::pair(startup.quic_file, FileKind::quic),
                                    {startup.remote_write_file, FileKind::remote_write},
