--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -339,7 +339,7 @@
   };
   for (const Action& action : actions_) {
     std::visit(
-        Overloaded{[&](const Submit& a) { put("submit_to", a.id, std::string_view(a.backend), a.not_past); },
+        Overloaded{[&](const Submit& a) { put("submit_to", a.id, std::string_view(a.backend), a.deadline); },
                    [&](const Reject& a) { put("decline", a.id, a.retry_after); },
                    [&](const Fail& a) { put("surrender", a.id); },
                    [&](const Redirect& a) { put("redirect", a.id); },
--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -26,7 +26,7 @@
 }
 
 /// The same with every bit spread over all others (the finaliser of MurmurHash3), to rank names by.
-constexpr std::uint64_t mixed(std::uint64_t x) {
+constexpr std::uint64_t mix_bits(std::uint64_t x) {
   x ^= x >> 33, x *= 0xff51afd7ed558ccd, x ^= x >> 33, x *= 0xc4ceb9fe1a85ec53;
   return x ^ x >> 33;
 }
@@ -188,11 +188,11 @@
 struct Submit {
   std::uint64_t id = 0;
   std::string backend;
-  Time not_past = 0;
+  Time deadline = 0;
 };
 /// Why a request is rejected: the fleet is full; its time was up before any attempt could be made; or the
 /// attempts that it had have failed.
-enum class RejectReason { admission, held, attempts_failed };
+enum class RejectReason { admission, expired, attempts_failed };
 /// Final answer: rejected, trying again is harmless. retry_after 0: no hint.
 struct Reject {
   std::uint64_t id = 0;
@@ -243,7 +243,7 @@
   /// From now on the fleet's budgets are shared by so many relays, 1 at least, in place of
   /// Settings::balancers: where relays know of each other how many are there. Probes earned until then are
   /// kept.
-  void shared_by(int balancers);
+  void set_balancer_count(int balancers);
 
   /// What the bookkeeping holds, for a relay's own metrics and for tests.
   struct Counts {
@@ -251,9 +251,9 @@
     std::size_t open = 0;        // connections that stand
     std::size_t down = 0;        // listed backends marked down
   };
-  Counts counts() const;                         // walks all requests
-  std::vector<std::string> down() const;         // listed backends marked down
-  int active(const std::string& backend) const;  // connections counted there
+  Counts counts() const;                                     // walks all requests
+  std::vector<std::string> down_backends() const;            // listed backends marked down
+  int active_connections(const std::string& backend) const;  // connections counted there
 
  private:
   struct Impl;
--- a/src/core/dispatcher_policy.cpp
+++ b/src/core/dispatcher_policy.cpp
@@ -101,7 +101,7 @@
 void Dispatcher::carry_out(const Submit& action) {
   Exchange* exchange = find_waiting(action.id);
   if (!exchange || exchange->attempt_) return;
-  begin_attempt(*exchange, action.backend, std::max<Time>(kMillisecond, action.not_past - now()));
+  begin_attempt(*exchange, action.backend, std::max<Time>(kMillisecond, action.deadline - now()));
 }
 
 void Dispatcher::carry_out(const Reject& action) {
--- a/src/core/dispatcher_timers.cpp
+++ b/src/core/dispatcher_timers.cpp
@@ -72,7 +72,7 @@
     if (Exchange* exchange = find(id)) exchange->redirect_now(exchange->move_reason());
   counters_.standing.set(static_cast<double>(standing()));
   counters_.waiting.set(static_cast<double>(unanswered_));
-  counters_.workers_down.set(static_cast<double>(balancer_.down().size()));
+  counters_.workers_down.set(static_cast<double>(balancer_.down_backends().size()));
 }
 
 // A message of this call has been answered after so long, or waits for its answer since.
@@ -97,9 +97,9 @@
   int balancers = gate_->balancers();
   if (balancers > 0 && balancers != shared_by_) {
     shared_by_ = balancers;
-    balancer_.shared_by(balancers);
+    balancer_.set_balancer_count(balancers);
   }
-  gate_->down(balancer_.down());
+  gate_->down(balancer_.down_backends());
 }
 
 // ---- A planned restart -------------------------------------------------------------------------------
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -94,17 +94,17 @@
   self.context.actions = nullptr;
 }
 
-void Balancer::shared_by(int balancers) { impl_->prober.share_budget_by(balancers); }
+void Balancer::set_balancer_count(int balancers) { impl_->prober.share_budget_by(balancers); }
 
 Balancer::Counts Balancer::counts() const {
   Counts counts = impl_->requests.counts();
-  counts.down = impl_->backends.down().size();
+  counts.down = impl_->backends.down_backends().size();
   return counts;
 }
 
-std::vector<std::string> Balancer::down() const { return impl_->backends.down(); }
+std::vector<std::string> Balancer::down_backends() const { return impl_->backends.down_backends(); }
 
-int Balancer::active(const std::string& backend) const {
+int Balancer::active_connections(const std::string& backend) const {
   int index = impl_->backends.find(backend);
   return index == kNoBackend ? 0 : impl_->backends[index].active;
 }
--- a/src/policy/placement/group_affinity.cpp
+++ b/src/policy/placement/group_affinity.cpp
@@ -16,7 +16,7 @@
 
 // A number from 0 to 1, 0 excluded, that the pair always has.
 double fixed_draw(std::uint64_t backend_hash, std::uint64_t group) {
-  return (static_cast<double>(mixed(backend_hash ^ group) >> 11) + 1) * 0x1p-53;
+  return (static_cast<double>(mix_bits(backend_hash ^ group) >> 11) + 1) * 0x1p-53;
 }
 
 }  // namespace
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -160,7 +160,7 @@
 void RequestHandler::finish(std::uint64_t id, Request& request) {
   if (parts_.rules.harmless_to_repeat(request)) {
     Time longest = parts_.context.settings.max_retry_after_us;
-    RejectReason reason = request.attempts == 0 ? RejectReason::held : RejectReason::attempts_failed;
+    RejectReason reason = request.attempts == 0 ? RejectReason::expired : RejectReason::attempts_failed;
     return reject(id, request, parts_.context.random.up_to(longest / 4), reason);
   }
   parts_.context.emit(Fail{id});
--- a/src/policy/state/backend_table.h
+++ b/src/policy/state/backend_table.h
@@ -28,7 +28,7 @@
       all_.push_back(it->second);
       backends_.emplace_back();
       backends_.back().address = address;
-      backends_.back().hash = mixed(name_hash(address));
+      backends_.back().hash = mix_bits(name_hash(address));
     }
     return {&backends_[static_cast<std::size_t>(it->second)], added};
   }
@@ -48,7 +48,7 @@
   std::vector<int>& sampled() { return sampled_; }
 
   /// Addresses of the listed backends that are marked down.
-  std::vector<std::string> down() const {
+  std::vector<std::string> down_backends() const {
     std::vector<std::string> addresses;
     for (const Backend& backend : backends_)
       if (backend.listed && backend.down) addresses.push_back(backend.address);
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -103,7 +103,7 @@
     Bench b(s);
     b.list(EndpointListKind::full, twelve());
     probes_in(b, 100 * kMinute);
-    b.balancer.shared_by(told);
+    b.balancer.set_balancer_count(told);
     probes[told] = probes_in(b, 10 * kMinute);
   }
   CAPTURE(probes[2], probes[10], probes[50]);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -58,13 +58,13 @@
   Bench b(s);
   b.list(EndpointListKind::full, {Bench::entry("1", Health::serving)});
   for (int i = 0; i < 3; ++i) b.handle(ProbeResultEvent{"1", 500'000, Outcome::timeout, {}});
-  REQUIRE(b.balancer.down().size() == 1);
-  for (int second = 0; second < 60 && !b.balancer.down().empty(); ++second) {
+  REQUIRE(b.balancer.down_backends().size() == 1);
+  for (int second = 0; second < 60 && !b.balancer.down_backends().empty(); ++second) {
     std::size_t before = b.probes.size();
     b.run(1'000'000);
     if (b.probes.size() > before) b.report("1", 0.2);
   }
-  CHECK(b.balancer.down().empty());
+  CHECK(b.balancer.down_backends().empty());
 }
 
 // One call says that its group is all there is: a balancer that believed it spread every group over the
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -44,7 +44,7 @@
     }
     EXPECT_EQ(balancer_.counts().unanswered, 0u);
     EXPECT_EQ(balancer_.counts().open, 0u);
-    for (int b = 0; b < kBackends; ++b) EXPECT_EQ(balancer_.active(name(b)), 0) << name(b);
+    for (int b = 0; b < kBackends; ++b) EXPECT_EQ(balancer_.active_connections(name(b)), 0) << name(b);
     return trace_.str();
   }
 
@@ -105,7 +105,7 @@
       trace_ << "s" << a->id << ">" << b << " ";
       EXPECT_TRUE(usable_[b]) << "sent to a draining or removed backend";
       EXPECT_LT(w.tries.size(), 4u);
-      EXPECT_LE(a->not_past, w.deadline);
+      EXPECT_LE(a->deadline, w.deadline);
       for (const Tried& t : w.tries) {
         EXPECT_FALSE(t.out) << "two attempts at once";
         if (!t.may_have_run) continue;
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -100,7 +100,7 @@
     for (; answered < relay.rejections.size(); ++answered) relay.request();
     for (; seen < relay.submits.size(); ++seen) {
       const Submit& s = relay.submits[seen];
-      ends.emplace(relay.now < healed ? s.not_past : relay.now + 30 * kMs, s.id);
+      ends.emplace(relay.now < healed ? s.deadline : relay.now + 30 * kMs, s.id);
     }
     while (!ends.empty() && ends.begin()->first <= relay.now) {
       std::uint64_t id = ends.begin()->second;
@@ -123,7 +123,7 @@
 TEST(Storms, AfterAFailedSetupAttemptsAreNotCutShortUntilOneSucceeds) {
   Relay relay(plain_settings(), 4);
   relay.list_of(8);
-  auto time_given = [&] { return relay.submits.back().not_past - relay.now; };
+  auto time_given = [&] { return relay.submits.back().deadline - relay.now; };
   std::uint64_t first = relay.request();
   EXPECT_LT(time_given(), 700 * kMs);  // a third of 1.8 s: two more attempts may follow
   relay.run_for(600 * kMs);
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -44,7 +44,7 @@
   relay.list_of(2);
   for (int i = 0; i < 20; ++i)
     relay.send(HandoverEvent{{.id = 1000u + i, .request_class = 0, .expires_in = kSec}, "b0"});
-  EXPECT_EQ(relay.balancer.active("b0"), 20);
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 20);
   int empty = 0;
   for (int i = 0; i < 200; ++i) {
     std::uint64_t id = relay.request();
@@ -151,20 +151,20 @@
   Relay relay(plain_settings());
   relay.list_of(1);
   std::uint64_t a = relay.request(), b = relay.request(), c = relay.request();
-  EXPECT_EQ(relay.balancer.active("b0"), 0) << "not accepted yet";
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 0) << "not accepted yet";
   relay.send(EstablishedEvent{a, 0, kMs});
   relay.send(EstablishedEvent{a, 0, kMs});
-  EXPECT_EQ(relay.balancer.active("b0"), 1);
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 1);
   relay.result(b, Outcome::full);
   relay.result(b, Outcome::full);  // a repeated result
   relay.result(c, Outcome::connect_failed);
-  EXPECT_EQ(relay.balancer.active("b0"), 1) << "refused and failed connects add nothing";
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 1) << "refused and failed connects add nothing";
   relay.send(HandoverEvent{{.id = 99, .request_class = 0, .expires_in = 0}, "b0"});
-  EXPECT_EQ(relay.balancer.active("b0"), 2);
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 2);
   relay.result(99, Outcome::cancelled, true);
   relay.result(a, Outcome::reset, true);
   relay.result(a, Outcome::reset, true);
-  EXPECT_EQ(relay.balancer.active("b0"), 0);
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 0);
   EXPECT_EQ(relay.balancer.counts().open, 0u);
 }
 
@@ -174,9 +174,9 @@
   Relay relay(s);
   relay.list_of(1);
   std::uint64_t id = relay.request();
-  EXPECT_EQ(relay.balancer.active("b0"), 1);
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 1);
   relay.result(id, Outcome::served, true);
-  EXPECT_EQ(relay.balancer.active("b0"), 0);
+  EXPECT_EQ(relay.balancer.active_connections("b0"), 0);
 }
 
 // A relay uses few backends of a big fleet, yet all relays together use every backend equally.
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -60,8 +60,8 @@
   Relay relay(plain_settings());
   relay.list_of(5);
   relay.request();
-  EXPECT_LE(relay.submits[0].not_past, relay.now + 900 * kMs);
-  EXPECT_GE(relay.submits[0].not_past, relay.now + 300 * kMs);
+  EXPECT_LE(relay.submits[0].deadline, relay.now + 900 * kMs);
+  EXPECT_GE(relay.submits[0].deadline, relay.now + 300 * kMs);
 }
 
 TEST(Rules, AnUnsafeRequestThatMayHaveRunIsFailedNotRepeated) {
--- a/tests/settings/rules_test.cpp
+++ b/tests/settings/rules_test.cpp
@@ -35,7 +35,7 @@
           Outcome outcome = !missed ? Outcome::served : late ? Outcome::timeout : Outcome::connect_failed;
           b.handle(ProbeResultEvent{"2", 3000, outcome, {}});
           misses = missed ? misses + 1 : 0;
-          RC_ASSERT(b.balancer.down().size() == (misses >= 3 ? 1u : 0u));
+          RC_ASSERT(b.balancer.down_backends().size() == (misses >= 3 ? 1u : 0u));
         }
       });
   REQUIRE(held);
@@ -48,7 +48,7 @@
     for (int w = 1; w <= d.workers; ++w)
       for (int i = 0; i < 3; ++i)
         b.handle(ProbeResultEvent{std::to_string(w), 500'000, Outcome::timeout, {}});
-    RC_ASSERT(b.balancer.down().size() == static_cast<std::size_t>(d.workers));
+    RC_ASSERT(b.balancer.down_backends().size() == static_cast<std::size_t>(d.workers));
     for (int turn = 0; turn < 3; ++turn) {
       std::set<std::string> used;
       for (int i = 0; i < d.workers; ++i) used.insert(place(b));
--- a/tests/settings/simulated_fleet.cpp
+++ b/tests/settings/simulated_fleet.cpp
@@ -68,7 +68,7 @@
     Balancer::Counts counts = balancers_[i].module->counts();
     if (counts.open + counts.unanswered > 0) throw Wrong("the module holds calls that are over");
     for (const Worker& w : workers_)
-      if (balancers_[i].module->active(w.address) != 0)
+      if (balancers_[i].module->active_connections(w.address) != 0)
         throw Wrong("the module counts connections that are over");
   }
 }
@@ -175,7 +175,7 @@
   if (!c || c->answered || c->open) throw Wrong("an attempt for a call that is unknown or over");
   if (c->out) throw Wrong("two attempts at once");
   if (c->attempts >= drawn_.attempts) throw Wrong("more attempts than allowed");
-  if (action.not_past <= now_ || action.not_past > c->deadline)
+  if (action.deadline <= now_ || action.deadline > c->deadline)
     throw Wrong("an attempt past its call's time");
   c->worker = number(action.backend);
   auto told = balancers_[b].told.find(c->worker);
@@ -187,7 +187,7 @@
   storm_[b].all += 1, storm_[b].before += !storm_[b].met;
   std::uint64_t id = action.id;
   at(now_ + kMs, [=, this] { reaches(b, id, attempt); });
-  at(action.not_past, [=, this] {
+  at(action.deadline, [=, this] {
     Call* late = call(b, id);
     if (late && late->out && !late->open) result(b, id, attempt, Outcome::timeout, false);
   });
