--- a/bench/fleet_record.cpp
+++ b/bench/fleet_record.cpp
@@ -72,7 +72,7 @@
     const bool voter = std::ranges::count(from.settings.voters, e.from) != 0;
     const bool leads = from.node->record().role() == Role::leader;
     const std::size_t octets = seal_.close({1, "balancer-100", 1, 1, e.what.part, e.what.body}).size() +
-                               (e.what.carrier == Carrier::stream ? kAroundStream : kAroundDatagram);
+                               (e.what.transport == Transport::stream ? kAroundStream : kAroundDatagram);
     Count& count = counts_[{leads ? "leader" : voter ? "voter" : "observer", kind}];
     ++count.messages;
     count.octets += static_cast<double>(octets);
--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -81,13 +81,13 @@
 inline bool read_each(std::string_view bytes) {
   static const Seal seal("tartu", {kKey});
   bool read = false;
-  for (Carrier carrier : {Carrier::datagram, Carrier::stream})
+  for (Transport transport : {Transport::datagram, Transport::stream})
     for (const std::string& octets : {std::string(bytes), with_code(bytes)}) {
       Dropped why{};
-      const auto envelope = seal.open(octets, why, carrier);
+      const auto envelope = seal.open(octets, why, transport);
       if (!envelope) continue;
       read = true;
-      demand(octets.size() <= (carrier == Carrier::datagram ? kLongestDatagram : kLongestStream));
+      demand(octets.size() <= (transport == Transport::datagram ? kLongestDatagram : kLongestStream));
       demand(!envelope->sender.empty() && envelope->sender.size() <= kLongestName);
       const auto again = seal.open(seal.close(*envelope), why);
       demand(again ? again->body == envelope->body && again->sender == envelope->sender
@@ -151,7 +151,7 @@
       first.leader = "boris";
       auto& entry = *first.entries.emplace_back(std::make_unique<fb::EntryT>());
       entry.index = entry.term = 1;
-      hear("boris", Part::record, sealed(first), Carrier::stream);
+      hear("boris", Part::record, sealed(first), Transport::stream);
       demand(node->record().ledger().applied == 1);
     }
   }
@@ -171,12 +171,12 @@
       answer.offset = asked.kind == kAsk && asked.flag;
       answer.index = asked.kind == kAsk ? 0 : asked.index + asked.entries.size();
       if (asked.kind == kAsk || asked.kind == kAppend)
-        node->received(now, "boris", Part::record, sealed(answer), Carrier::stream, out);
+        node->received(now, "boris", Part::record, sealed(answer), Transport::stream, out);
     }
   }
-  void hear(const std::string& from, Part part, std::string_view body, Carrier carrier) {
+  void hear(const std::string& from, Part part, std::string_view body, Transport transport) {
     Outbox out;
-    node->received(now, from, part, body, carrier, out);
+    node->received(now, from, part, body, transport, out);
     for (const Outgoing& each : out) demand(each.body.size() <= (1 << 20));
   }
   MemoryDisk disk;
@@ -193,7 +193,7 @@
   check::on_broken = [](const char*, const std::string&) {};
   for (int times = 0; times < 2; ++times)
     hearer.hear(how & 32 ? "stranger" : "boris", how & 8 ? Part::view : Part::record, body,
-                how & 16 ? Carrier::datagram : Carrier::stream);
+                how & 16 ? Transport::datagram : Transport::stream);
   for (int turn = 0; turn < 8; ++turn) hearer.step(true);
   hearer.node->routes()->route(hearer.now, "ride", "acme", "7");
   Reservation reservation;
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -93,7 +93,7 @@
   try {
     peers_ = std::make_unique<Peers>(
         loop_, own,
-        Peers::Heard{[this](std::string_view octets) { return arrived(octets, Carrier::stream, nullptr); },
+        Peers::Heard{[this](std::string_view octets) { return arrived(octets, Transport::stream, nullptr); },
                      [this](const char* reason) { dropped(reason); }});
   } catch (const std::runtime_error& error) {
     throw std::runtime_error("fleet: listen: cannot bind " + settings_.listen + ": " + error.what());
@@ -132,13 +132,13 @@
     if (static_cast<std::size_t>(n) > kLongestDatagram)
       dropped("too_long");
     else
-      arrived({buffer, static_cast<std::size_t>(n)}, Carrier::datagram, &from);
+      arrived({buffer, static_cast<std::size_t>(n)}, Transport::datagram, &from);
   }
 }
 
-bool Driver::arrived(std::string_view octets, Carrier carrier, const sockaddr_in* from) {
+bool Driver::arrived(std::string_view octets, Transport transport, const sockaddr_in* from) {
   Dropped why = Dropped::cut;
-  auto envelope = seal_.open(octets, why, carrier);
+  auto envelope = seal_.open(octets, why, transport);
   if (!envelope) {
     dropped(reason_of(why));
     return false;
@@ -155,7 +155,7 @@
     heard_from_[envelope->sender] = *from;
   with([&](Node& node, Time at, Outbox& out) {
     node.heard(at, envelope->sender, envelope->sent_at);
-    node.received(at, envelope->sender, envelope->part, envelope->body, carrier, out);
+    node.received(at, envelope->sender, envelope->part, envelope->body, transport, out);
   });
   return true;
 }
@@ -188,13 +188,13 @@
     envelope.part = message.part;
     envelope.body = std::move(message.body);
     std::string sealed = seal_.close(envelope);
-    if (sealed.size() > (message.carrier == Carrier::stream ? kLongestStream : kLongestDatagram)) {
+    if (sealed.size() > (message.transport == Transport::stream ? kLongestStream : kLongestDatagram)) {
       dropped("too_big");
       continue;
     }
     sent_.add();
     sent_octets_.add(static_cast<double>(sealed.size()));
-    if (message.carrier == Carrier::stream)
+    if (message.transport == Transport::stream)
       peers_->send(*to, sealed);
     else if (::sendto(udp_.get(), sealed.data(), sealed.size(), 0, reinterpret_cast<const sockaddr*>(&*to),
                       sizeof *to) < 0)
--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -40,7 +40,7 @@
 
  private:
   void datagrams();
-  bool arrived(std::string_view octets, Carrier carrier, const sockaddr_in* from);
+  bool arrived(std::string_view octets, Transport transport, const sockaddr_in* from);
   void send(Outbox& out);
   std::optional<sockaddr_in> address_of(const std::string& name) const;
   void after();
--- a/src/fleet/record/learning.cpp
+++ b/src/fleet/record/learning.cpp
@@ -114,7 +114,7 @@
   const bool all = answer || !news.entries.empty() || learner.told_term != news.term;
   learner.told_term = news.term;
   if (all) news.leader = leader, news.total = log.last();
-  send(to, news, out, all ? Carrier::stream : Carrier::datagram);
+  send(to, news, out, all ? Transport::stream : Transport::datagram);
 }
 
 // `paced`: what came is a heartbeat, of which a learner needs one in kGrant; else it is news to be passed on.
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -53,7 +53,7 @@
   return std::ranges::find(names, name) != names.end();
 }
 
-void Record::State::send(const std::string& to, Message& message, Outbox& out, Carrier by) const {
+void Record::State::send(const std::string& to, Message& message, Outbox& out, Transport by) const {
   out.push_back({to, Part::record, by, sealed(message)});
 }
 
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -99,7 +99,7 @@
 
   std::vector<std::string> voters() const;
   bool votes(const std::string& name) const;
-  void send(const std::string& to, Message& message, Outbox& out, Carrier by = Carrier::stream) const;
+  void send(const std::string& to, Message& message, Outbox& out, Transport by = Transport::stream) const;
 
   const Settings settings;
   const std::uint64_t incarnation;
--- a/src/fleet/time.h
+++ b/src/fleet/time.h
@@ -17,12 +17,12 @@
 
 // Something to hand to another member. `part` is whose message it is; bodies are made and read by that part.
 enum class Part : std::uint8_t { view = 1, record = 2, wallet = 3 };
-enum class Carrier : std::uint8_t { datagram, stream };  // a stream is opened for it where none stands
+enum class Transport : std::uint8_t { datagram, stream };  // a stream is opened for it where none stands
 
 struct Outgoing {
   std::string to;  // a member's name; for a seed not yet met, "@" and its address
   Part part = Part::view;
-  Carrier carrier = Carrier::datagram;
+  Transport transport = Transport::datagram;
   std::string body;  // at most 1,200 octets on a datagram, 1 MiB on a stream
 };
 
--- a/src/fleet/view/view.cpp
+++ b/src/fleet/view/view.cpp
@@ -117,14 +117,15 @@
     : state_(new State(settings, incarnation, seed, now)) {}
 void View::Release::operator()(State* state) const { delete state; }
 
-void View::received(Time now, const std::string& from, std::string_view body, Carrier carrier, Outbox& out) {
+void View::received(Time now, const std::string& from, std::string_view body, Transport transport,
+                    Outbox& out) {
   State& s = *state_;
   if (s.stopped() || from.empty() || from.size() > view::kLongestMemberName) return;
-  if (carrier == Carrier::datagram && body.size() > view::kLongestBody) return;
+  if (transport == Transport::datagram && body.size() > view::kLongestBody) return;
   std::optional<Said> said = view::decode(body);
   if (!said) return;
   const bool exchange = said->kind == Kind::ask || said->kind == Kind::whole || said->kind == Kind::answer;
-  if (exchange != (carrier == Carrier::stream)) return;
+  if (exchange != (transport == Transport::stream)) return;
   // A ping for another that had this address before
   if (said->kind == Kind::ping && !said->target.empty() && said->target != s.name) return;
   s.wake(now);
--- a/src/fleet/view/view.h
+++ b/src/fleet/view/view.h
@@ -36,7 +36,7 @@
 
   // From the owner. A body that cannot be read changes nothing. To a name in the outbox belongs the address
   // that members() has for it; "@address" is sent there as it stands.
-  void received(Time now, const std::string& from, std::string_view body, Carrier carrier, Outbox& out);
+  void received(Time now, const std::string& from, std::string_view body, Transport transport, Outbox& out);
   void tick(Time now, Outbox& out);   // at next_due or later; a much later call means that this process slept
   void leave(Time now, Outbox& out);  // at SIGTERM: others take it off at once, without suspicion
   Time next_due() const;
--- a/src/fleet/wire/envelope.cpp
+++ b/src/fleet/wire/envelope.cpp
@@ -52,12 +52,12 @@
   return sealed.append(octets);
 }
 
-std::optional<Envelope> Seal::open(std::string_view octets, Dropped& why, Carrier carrier) const {
+std::optional<Envelope> Seal::open(std::string_view octets, Dropped& why, Transport transport) const {
   auto drop = [&](Dropped reason) {
     why = reason;
     return std::nullopt;
   };
-  if (octets.size() > (carrier == Carrier::datagram ? kLongestDatagram : kLongestStream))
+  if (octets.size() > (transport == Transport::datagram ? kLongestDatagram : kLongestStream))
     return drop(Dropped::too_long);
   if (octets.size() < kCode + sizeof(flatbuffers::uoffset_t)) return drop(Dropped::cut);
   std::string_view inside = octets.substr(kCode);
--- a/src/fleet/wire/envelope.h
+++ b/src/fleet/wire/envelope.h
@@ -40,7 +40,7 @@
   // is checked before anything of a stranger is read, so one with another key counts as forged whatever its
   // fleet.
   std::optional<Envelope> open(std::string_view octets, Dropped& why,
-                               Carrier carrier = Carrier::stream) const;
+                               Transport transport = Transport::stream) const;
 
  private:
   std::string fleet_;
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -141,7 +141,7 @@
   append.term = append.index = append.index_term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = 2, entry.term = 1, entry.command = "of a later program";
-  hearer.hear("boris", Part::record, sealed(append), Carrier::stream);
+  hearer.hear("boris", Part::record, sealed(append), Transport::stream);
   for (int turn = 0; turn < 8; ++turn) hearer.step(false);
   CHECK(hearer.node->record().ledger().applied == 1);
 }
@@ -159,7 +159,7 @@
       std::string cut = with_hash(body);
       changer.change(cut);
       if (cut == with_hash(body)) continue;
-      hearer.hear("boris", Part::record, cut, Carrier::stream);
+      hearer.hear("boris", Part::record, cut, Transport::stream);
     }
     CHECK(digest(record.ledger()) == before);
     CHECK(record.term() == term);
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -94,7 +94,7 @@
     if (bad == good) continue;
     bad.resize(std::min<std::size_t>(bad.size(), 60'000));  // what one datagram takes
     Dropped why{};
-    REQUIRE_FALSE(ours.open(bad, why, Carrier::datagram));
+    REQUIRE_FALSE(ours.open(bad, why, Transport::datagram));
     add(bad, kWords[static_cast<int>(why)]);
   }
   const std::uint64_t digest = alva.driver->node().view().digest();
--- a/tests/fleet/record/cluster.h
+++ b/tests/fleet/record/cluster.h
@@ -72,13 +72,13 @@
       if (each.body.size() > (1 << 20)) throw std::logic_error("a message over 1 MiB");
       ++sent[from];
       octets[from] += each.body.size();
-      if (each.carrier == Carrier::datagram) ++datagrams;
+      if (each.transport == Transport::datagram) ++datagrams;
       if (silent.contains({from, each.to}) || chance() < loss) continue;
-      if (each.carrier == Carrier::datagram && datagrams_lost > 0 && chance() < datagrams_lost) continue;
+      if (each.transport == Transport::datagram && datagrams_lost > 0 && chance() < datagrams_lost) continue;
       const int copies = chance() < repeat ? 2 : 1;
       for (int i = 0; i < copies; ++i) {
         Time delay = 500 + static_cast<Time>(random() % 1500);
-        while (each.carrier == Carrier::stream && datagrams_lost > 0 && chance() < datagrams_lost)
+        while (each.transport == Transport::stream && datagrams_lost > 0 && chance() < datagrams_lost)
           delay += 200'000;  // TCP's
         if (chance() < late) delay += static_cast<Time>(random() % 400'000);
         flights.push({now + delay, ++order, from, each.to, each.body});
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/nodes.h
@@ -162,7 +162,7 @@
     }
     Outbox out;
     one.node->heard(clock(one), e.from, e.sent_at);
-    one.node->received(clock(one), e.from, e.what.part, e.what.body, e.what.carrier, out);
+    one.node->received(clock(one), e.from, e.what.part, e.what.body, e.what.transport, out);
     one.due = std::min(one.due, one.node->next_due());
     post(e.to, out);
   }
--- a/tests/fleet/view/fleet_test.cpp
+++ b/tests/fleet/view/fleet_test.cpp
@@ -314,13 +314,13 @@
   net.run(8 * kSecond);
   auto rest = without(all, 2);
   REQUIRE(net.equal(rest));
-  for (std::size_t i : rest) net.hand(i, net[2].name, old[0].body, Carrier::datagram);
+  for (std::size_t i : rest) net.hand(i, net[2].name, old[0].body, Transport::datagram);
   CHECK(net.equal(rest));
   net.start(2);
   net.run(3 * kSecond);
   REQUIRE(net.equal(all));
   std::uint64_t digest = net[0].view->digest();
-  for (std::size_t i : all) net.hand(i, net[2].name, old[0].body, Carrier::datagram);
+  for (std::size_t i : all) net.hand(i, net[2].name, old[0].body, Transport::datagram);
   net.run(5 * kSecond);
   CHECK(net.equal(all));
   CHECK(net[0].view->digest() == digest);
--- a/tests/fleet/view/message_test.cpp
+++ b/tests/fleet/view/message_test.cpp
@@ -119,7 +119,7 @@
   Outbox out;
   net[0].view->received(net.now(), "veteran",
                         {reinterpret_cast<const char*>(older.GetBufferPointer()), older.GetSize()},
-                        Carrier::datagram, out);
+                        Transport::datagram, out);
   CHECK(net[0].view->members().count("veteran") == 1);
   CHECK_FALSE(out.empty());
 }
@@ -151,19 +151,19 @@
         for (char& c : bad) c = static_cast<char>(random());
     }
     Dropped why{};
-    auto envelope = seal.open(bad, why, round % 2 ? Carrier::datagram : Carrier::stream);
-    if (envelope) ++opened, net.hand(0, envelope->sender, envelope->body, Carrier::datagram);
+    auto envelope = seal.open(bad, why, round % 2 ? Transport::datagram : Transport::stream);
+    if (envelope) ++opened, net.hand(0, envelope->sender, envelope->body, Transport::datagram);
   }
   CHECK(opened == 0);
-  // A stranger that has the key, or a broken member: 64 KB, cut and the wrong carrier
-  for (Carrier carrier : {Carrier::datagram, Carrier::stream}) {
-    net.hand(0, "boris", std::string(65536, '\0'), carrier);
-    net.hand(0, "boris", body.substr(0, body.size() / 2), carrier);
-    net.hand(0, "", body, carrier);
-    net.hand(0, std::string(129, 'x'), body, carrier);
+  // A stranger that has the key, or a broken member: 64 KB, cut and the wrong transport
+  for (Transport transport : {Transport::datagram, Transport::stream}) {
+    net.hand(0, "boris", std::string(65536, '\0'), transport);
+    net.hand(0, "boris", body.substr(0, body.size() / 2), transport);
+    net.hand(0, "", body, transport);
+    net.hand(0, std::string(129, 'x'), body, transport);
   }
-  net.hand(0, "boris", body, Carrier::stream);
-  net.hand(0, "boris", body + std::string(65536, 'x'), Carrier::datagram);
+  net.hand(0, "boris", body, Transport::stream);
+  net.hand(0, "boris", body + std::string(65536, 'x'), Transport::datagram);
   CHECK(net[0].view->digest() == digest);
   CHECK(net[0].view->generation() == generation);
 }
@@ -181,7 +181,7 @@
   REQUIRE_FALSE(sent.empty());
   const std::uint64_t generation = net[0].view->generation();
   for (int again = 0; again < 50; ++again)
-    for (const Outgoing& one : sent) net.hand(0, net[1].name, one.body, one.carrier);
+    for (const Outgoing& one : sent) net.hand(0, net[1].name, one.body, one.transport);
   CHECK(net[0].view->generation() == generation);
 }
 
@@ -206,7 +206,7 @@
     if (random() % 8 == 0) body.resize(random() % body.size());
     read += decode(body).has_value();
     net.hand(0, random() % 3 ? "boris" : "balancer-" + std::to_string(random() % 5), body,
-             random() % 2 ? Carrier::datagram : Carrier::stream);
+             random() % 2 ? Transport::datagram : Transport::stream);
     if (round % 500 == 0) net.run(kSecond);
   }
   CHECK(read > 1000);  // some are readable and false: the checks inside must hold all the same
--- a/tests/fleet/view/network.h
+++ b/tests/fleet/view/network.h
@@ -77,9 +77,9 @@
   }
   void run(Time span) { run_until(now_ + span); }
   // A message from outside the run, handed over at once.
-  void hand(std::size_t to, const std::string& from, const std::string& body, Carrier carrier) {
+  void hand(std::size_t to, const std::string& from, const std::string& body, Transport transport) {
     Outbox out;
-    processes_[to].view->received(now_, from, body, carrier, out);
+    processes_[to].view->received(now_, from, body, transport, out);
     carry(to, out);
     schedule(to);
   }
@@ -118,7 +118,7 @@
     std::size_t to;
     bool tick;
     std::string from, body;
-    Carrier carrier;
+    Transport transport;
     bool operator<(const Event& other) const {
       return at != other.at ? at > other.at : order > other.order;  // the queue's top is the earliest
     }
@@ -145,7 +145,7 @@
     }
     Outbox out;
     if (!event.tick) {
-      p.view->received(now_, event.from, event.body, event.carrier, out);
+      p.view->received(now_, event.from, event.body, event.transport, out);
     } else if (p.view->next_due() <= now_) {
       p.view->tick(now_, out);
       if (p.view->next_due() <= now_) throw std::logic_error("a tick is due again at once");
@@ -164,14 +164,14 @@
       std::string address = one.to.front() == '@' ? one.to.substr(1) : p.view->members().at(one.to).address;
       auto it = at_.find(address);
       if (it == at_.end() || (cut && cut(from, it->second))) continue;
-      const bool datagram = one.carrier == Carrier::datagram;
+      const bool datagram = one.transport == Transport::datagram;
       for (int copy = 0; copy < (datagram && chance(repeats) ? 2 : 1); ++copy) {
         Time delay =
             least_delay + static_cast<Time>(random_() % static_cast<std::uint64_t>(most_delay - least_delay));
         if (datagram && chance(loss)) continue;
         if (!datagram)
           while (chance(loss)) delay += 200 * kMillisecond;  // sent again by TCP
-        push({now_ + delay, 0, it->second, false, p.name, one.body, one.carrier});
+        push({now_ + delay, 0, it->second, false, p.name, one.body, one.transport});
       }
     }
   }
--- a/tests/fleet/wire/wire_test.cpp
+++ b/tests/fleet/wire/wire_test.cpp
@@ -27,9 +27,10 @@
   return e;
 }
 
-std::optional<Dropped> refusal(const Seal& seal, std::string_view octets, Carrier carrier = Carrier::stream) {
+std::optional<Dropped> refusal(const Seal& seal, std::string_view octets,
+                               Transport transport = Transport::stream) {
   Dropped why{};
-  if (seal.open(octets, why, carrier)) return std::nullopt;
+  if (seal.open(octets, why, transport)) return std::nullopt;
   return why;
 }
 
@@ -69,7 +70,7 @@
     CHECK(out->sent_at == in.sent_at);
     CHECK(out->part == Part::record);
     CHECK(out->body == in.body);
-    if (size == 1200) CHECK_FALSE(refusal(seal, seal.close(in), Carrier::datagram));
+    if (size == 1200) CHECK_FALSE(refusal(seal, seal.close(in), Transport::datagram));
   }
 }
 
@@ -86,7 +87,7 @@
   CHECK(refusal(seal, other.close(sample())) == Dropped::other_fleet);
   CHECK(refusal(seal, "") == Dropped::cut);
   CHECK(refusal(seal, std::string(35, 'x')) == Dropped::cut);
-  CHECK(refusal(seal, seal.close(sample(std::string(1400, 'x'))), Carrier::datagram) == Dropped::too_long);
+  CHECK(refusal(seal, seal.close(sample(std::string(1400, 'x'))), Transport::datagram) == Dropped::too_long);
   CHECK(refusal(seal, seal.close(sample(std::string(kLongestStream, 'x')))) == Dropped::too_long);
   Envelope newer = sample();
   newer.schema = kSchemaNewest + 1;
