--- a/bench/fleet_record.cpp
+++ b/bench/fleet_record.cpp
@@ -63,7 +63,7 @@
  private:
   void seen(const Nodes::Event& e) {
     std::size_t kind = 0;
-    if (e.what.part == Part::record) {
+    if (e.what.component == Component::record) {
       fb::MessageT message;
       if (!unsealed(e.what.body, message)) return;
       kind = std::min<std::size_t>(message.kind, kMostKinds - 1);
@@ -71,7 +71,7 @@
     const auto& from = nodes_.members.at(e.from);
     const bool voter = std::ranges::count(from.settings.voters, e.from) != 0;
     const bool leads = from.node->record().role() == Role::leader;
-    const std::size_t octets = seal_.close({1, "balancer-100", 1, 1, e.what.part, e.what.body}).size() +
+    const std::size_t octets = seal_.close({1, "balancer-100", 1, 1, e.what.component, e.what.body}).size() +
                                (e.what.transport == Transport::stream ? kAroundStream : kAroundDatagram);
     Count& count = counts_[{leads ? "leader" : voter ? "voter" : "observer", kind}];
     ++count.messages;
--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -151,7 +151,7 @@
       first.leader = "boris";
       auto& entry = *first.entries.emplace_back(std::make_unique<fb::EntryT>());
       entry.index = entry.term = 1;
-      hear("boris", Part::record, sealed(first), Transport::stream);
+      hear("boris", Component::record, sealed(first), Transport::stream);
       demand(node->record().ledger().applied == 1);
     }
   }
@@ -163,7 +163,7 @@
     for (std::size_t at = 0; boris_answers && at < out.size(); ++at) {
       const Outgoing each = out[at];
       Message asked, answer;
-      if (each.to != "boris" || each.part != Part::record || !unsealed(each.body, asked)) continue;
+      if (each.to != "boris" || each.component != Component::record || !unsealed(each.body, asked)) continue;
       answer.flag = true;
       answer.term = asked.term;
       answer.beat = asked.beat;
@@ -171,12 +171,12 @@
       answer.offset = asked.kind == kAsk && asked.flag;
       answer.index = asked.kind == kAsk ? 0 : asked.index + asked.entries.size();
       if (asked.kind == kAsk || asked.kind == kAppend)
-        node->received(now, "boris", Part::record, sealed(answer), Transport::stream, out);
+        node->received(now, "boris", Component::record, sealed(answer), Transport::stream, out);
     }
   }
-  void hear(const std::string& from, Part part, std::string_view body, Transport transport) {
+  void hear(const std::string& from, Component component, std::string_view body, Transport transport) {
     Outbox out;
-    node->received(now, from, part, body, transport, out);
+    node->received(now, from, component, body, transport, out);
     for (const Outgoing& each : out) demand(each.body.size() <= (1 << 20));
   }
   MemoryDisk disk;
@@ -192,7 +192,7 @@
   Hearer hearer(static_cast<Part_in>(how % 4 % 3));
   check::on_broken = [](const char*, const std::string&) {};
   for (int times = 0; times < 2; ++times)
-    hearer.hear(how & 32 ? "stranger" : "boris", how & 8 ? Part::view : Part::record, body,
+    hearer.hear(how & 32 ? "stranger" : "boris", how & 8 ? Component::view : Component::record, body,
                 how & 16 ? Transport::datagram : Transport::stream);
   for (int turn = 0; turn < 8; ++turn) hearer.step(true);
   hearer.node->routes()->route(hearer.now, "ride", "acme", "7");
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -155,7 +155,7 @@
     heard_from_[envelope->sender] = *from;
   with([&](Node& node, Time at, Outbox& out) {
     node.heard(at, envelope->sender, envelope->sent_at);
-    node.received(at, envelope->sender, envelope->part, envelope->body, transport, out);
+    node.received(at, envelope->sender, envelope->component, envelope->body, transport, out);
   });
   return true;
 }
@@ -185,7 +185,7 @@
     envelope.sender = settings_.name;
     envelope.incarnation = incarnation_;
     envelope.sent_at = now();
-    envelope.part = message.part;
+    envelope.component = message.component;
     envelope.body = std::move(message.body);
     std::string sealed = seal_.close(envelope);
     if (sealed.size() > (message.transport == Transport::stream ? kLongestStream : kLongestDatagram)) {
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -21,11 +21,11 @@
   if (routes_) routes_->heard(now, from, sent_at);
 }
 
-void Node::received(Time now, const std::string& from, Part part, std::string_view body, Transport transport,
-                    Outbox& out) {
-  if (part == Part::view)
+void Node::received(Time now, const std::string& from, Component component, std::string_view body,
+                    Transport transport, Outbox& out) {
+  if (component == Component::view)
     view_->received(now, from, body, transport, out);
-  else if (part == Part::record)
+  else if (component == Component::record)
     record_->received(now, from, body, out);
   settle(now, out);  // a wallet has no messages of its own: all of it goes by the record
 }
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -26,8 +26,8 @@
   Node(NodeParts parts, Time now);
   // Envelope::sent_at of a message that verified, before it is handed to `received`.
   void heard(Time now, const std::string& from, Time sent_at);
-  void received(Time now, const std::string& from, Part part, std::string_view body, Transport transport,
-                Outbox& out);
+  void received(Time now, const std::string& from, Component component, std::string_view body,
+                Transport transport, Outbox& out);
   void tick(Time now, Outbox& out);
   void leave(Time now, Outbox& out);
   Time next_due() const;
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -54,7 +54,7 @@
 }
 
 void Record::State::send(const std::string& to, Message& message, Outbox& out, Transport by) const {
-  out.push_back({to, Part::record, by, sealed(message)});
+  out.push_back({to, Component::record, by, sealed(message)});
 }
 
 void Record::Release::operator()(State* state) const { delete state; }
--- a/src/fleet/time.h
+++ b/src/fleet/time.h
@@ -16,12 +16,12 @@
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 
 // Something to hand to another member. `part` is whose message it is; bodies are made and read by that part.
-enum class Part : std::uint8_t { view = 1, record = 2, wallet = 3 };
+enum class Component : std::uint8_t { view = 1, record = 2, wallet = 3 };
 enum class Transport : std::uint8_t { datagram, stream };  // a stream is opened for it where none stands
 
 struct Outgoing {
   std::string to;  // a member's name; for a seed not yet met, "@" and its address
-  Part part = Part::view;
+  Component component = Component::view;
   Transport transport = Transport::datagram;
   std::string body;  // at most 1,200 octets on a datagram, 1 MiB on a stream
 };
--- a/src/fleet/view/exchange.cpp
+++ b/src/fleet/view/exchange.cpp
@@ -70,7 +70,7 @@
   fill_head(said);
   said.digest = digest;
   last_ask = now;
-  out.push_back({to, Part::view, Transport::stream, view::encode(said)});
+  out.push_back({to, Component::view, Transport::stream, view::encode(said)});
 }
 
 void View::State::send_whole(Time now, Kind kind, const std::string& to, Outbox& out) {
@@ -82,7 +82,7 @@
     said.news.push_back(news_of(member));
     said.news.back().age = now - member.since;
   }
-  out.push_back({to, Part::view, Transport::stream, view::encode(said)});
+  out.push_back({to, Component::view, Transport::stream, view::encode(said)});
 }
 
 void View::State::on_exchange(Time now, const std::string& from, const Said& said, std::size_t brought,
@@ -115,7 +115,7 @@
     ack.kind = Kind::ack;
     ack.sequence = said.sequence;
     fill_head(ack);
-    out.push_back({"@" + said.address, Part::view, Transport::datagram, view::encode(ack)});
+    out.push_back({"@" + said.address, Component::view, Transport::datagram, view::encode(ack)});
   }
   probe_twin(now, said.address, out);
 }
@@ -129,7 +129,7 @@
   ping.sequence = twin_sequence;
   ping.target = name;
   fill_head(ping);
-  out.push_back({"@" + at, Part::view, Transport::datagram, view::encode(ping)});
+  out.push_back({"@" + at, Component::view, Transport::datagram, view::encode(ping)});
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/view/news.cpp
+++ b/src/fleet/view/news.cpp
@@ -89,7 +89,7 @@
     said.target = member.name;
     fill_head(said);
     said.news.push_back(news);
-    out.push_back({member.name, Part::view, Transport::datagram, view::encode(said)});
+    out.push_back({member.name, Component::view, Transport::datagram, view::encode(said)});
     return false;
   }
   take_over(now, member, news);
--- a/src/fleet/wire/envelope.cpp
+++ b/src/fleet/wire/envelope.cpp
@@ -26,8 +26,9 @@
   return code;
 }
 
-bool part_known(std::uint8_t part) {
-  return part >= static_cast<std::uint8_t>(Part::view) && part <= static_cast<std::uint8_t>(Part::wallet);
+bool component_known(std::uint8_t component) {
+  return component >= static_cast<std::uint8_t>(Component::view) &&
+         component <= static_cast<std::uint8_t>(Component::wallet);
 }
 
 }  // namespace
@@ -44,8 +45,8 @@
   auto body =
       builder.CreateVector(reinterpret_cast<const std::uint8_t*>(envelope.body.data()), envelope.body.size());
   builder.FinishSizePrefixed(wire::CreateSealed(builder, envelope.schema, fleet, sender, envelope.incarnation,
-                                                envelope.sent_at, static_cast<std::uint8_t>(envelope.part),
-                                                body));
+                                                envelope.sent_at,
+                                                static_cast<std::uint8_t>(envelope.component), body));
   std::string_view octets(reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize());
   Code code = code_of(keys_.front(), octets);
   std::string sealed(code.begin(), code.end());
@@ -78,7 +79,7 @@
   if (!wire::VerifySizePrefixedSealedBuffer(verifier)) return drop(Dropped::cut);
   const wire::Sealed& sealed = *wire::GetSizePrefixedSealed(data);
   if (sealed.fleet()->string_view() != fleet_) return drop(Dropped::other_fleet);
-  if (sealed.schema() < kSchemaOldest || sealed.schema() > kSchemaNewest || !part_known(sealed.part()))
+  if (sealed.schema() < kSchemaOldest || sealed.schema() > kSchemaNewest || !component_known(sealed.part()))
     return drop(Dropped::schema);
   if (sealed.sender()->size() == 0 || sealed.sender()->size() > kLongestName) return drop(Dropped::cut);
 
@@ -87,7 +88,7 @@
   envelope.sender = sealed.sender()->str();
   envelope.incarnation = sealed.incarnation();
   envelope.sent_at = sealed.sent_at();
-  envelope.part = static_cast<Part>(sealed.part());
+  envelope.component = static_cast<Component>(sealed.part());
   envelope.body.assign(reinterpret_cast<const char*>(sealed.body()->data()), sealed.body()->size());
   return envelope;
 }
--- a/src/fleet/wire/envelope.h
+++ b/src/fleet/wire/envelope.h
@@ -22,7 +22,7 @@
   std::string sender;
   std::uint64_t incarnation = 0;  // of the sender's process: a message of an earlier one is old
   Time sent_at = 0;               // by the sender's clock; bounds replay and shows a clock that is off
-  Part part = Part::view;
+  Component component = Component::view;
   std::string body;
 };
 
--- a/tests/fleet/processes/node_of_view.cpp
+++ b/tests/fleet/processes/node_of_view.cpp
@@ -11,9 +11,9 @@
 Node::Node(NodeParts parts, Time now)
     : view_(std::make_unique<View>(parts.settings, parts.incarnation, parts.seed, now)) {}
 void Node::heard(Time, const std::string&, Time) {}
-void Node::received(Time now, const std::string& from, Part part, std::string_view body, Transport transport,
-                    Outbox& out) {
-  if (part == Part::view) view_->received(now, from, body, transport, out);
+void Node::received(Time now, const std::string& from, Component component, std::string_view body,
+                    Transport transport, Outbox& out) {
+  if (component == Component::view) view_->received(now, from, body, transport, out);
 }
 void Node::tick(Time now, Outbox& out) { view_->tick(now, out); }
 void Node::leave(Time now, Outbox& out) { view_->leave(now, out); }
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -97,7 +97,7 @@
   for (const std::string& command : commands()) seeds.push_back(unhashed(command));
   seeds.push_back(unhashed(ledger_of(20)));
   const std::string envelope =
-      Seal("tartu", {kKey}).close({1, "boris", 1, kStart, Part::view, of_view().front()});
+      Seal("tartu", {kKey}).close({1, "boris", 1, kStart, Component::view, of_view().front()});
   seeds.push_back(envelope.substr(36));  // without code and length: they are put there anew
   for (const std::string& seed : seeds) REQUIRE(read_each(seed));  // the seeds are what they are to be
   Changer changer{std::mt19937_64(20261203)};
@@ -141,7 +141,7 @@
   append.term = append.index = append.index_term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = 2, entry.term = 1, entry.command = "of a later program";
-  hearer.hear("boris", Part::record, sealed(append), Transport::stream);
+  hearer.hear("boris", Component::record, sealed(append), Transport::stream);
   for (int turn = 0; turn < 8; ++turn) hearer.step(false);
   CHECK(hearer.node->record().ledger().applied == 1);
 }
@@ -159,7 +159,7 @@
       std::string cut = with_hash(body);
       changer.change(cut);
       if (cut == with_hash(body)) continue;
-      hearer.hear("boris", Part::record, cut, Transport::stream);
+      hearer.hear("boris", Component::record, cut, Transport::stream);
     }
     CHECK(digest(record.ledger()) == before);
     CHECK(record.term() == term);
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -68,7 +68,7 @@
   said.born = said.incarnation = 1;
   said.address = "127.0.0.1:" + std::to_string(free_port());
   const auto from = [&](const char* sender, Time sent_at) {
-    return Envelope{kSchemaNewest, sender, 1, sent_at, Part::view, view::encode(said)};
+    return Envelope{kSchemaNewest, sender, 1, sent_at, Component::view, view::encode(said)};
   };
   const Time now = alva.driver->now();
   Envelope newer = from("boris", now);
--- a/tests/fleet/random/world.h
+++ b/tests/fleet/random/world.h
@@ -160,7 +160,7 @@
     }
     Outbox out;
     one.node->heard(clock(one), m.from, m.sent_at);
-    one.node->received(clock(one), m.from, m.what.part, m.what.body, m.what.transport, out);
+    one.node->received(clock(one), m.from, m.what.component, m.what.body, m.what.transport, out);
     one.due = std::min(one.due, one.node->next_due());
     post(one, out);
     look(one);
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/nodes.h
@@ -138,7 +138,7 @@
       }
       ++messages;
       octets += o.body.size();
-      record_messages += o.part == Part::record;
+      record_messages += o.component == Component::record;
       if (!members.count(to) || members.at(to).side != members.at(from).side) continue;
       for (int copy = chance() < twice ? 2 : 1; copy > 0; --copy)
         if (chance() >= loss) {
@@ -162,7 +162,7 @@
     }
     Outbox out;
     one.node->heard(clock(one), e.from, e.sent_at);
-    one.node->received(clock(one), e.from, e.what.part, e.what.body, e.what.transport, out);
+    one.node->received(clock(one), e.from, e.what.component, e.what.body, e.what.transport, out);
     one.due = std::min(one.due, one.node->next_due());
     post(e.to, out);
   }
--- a/tests/fleet/view/message_test.cpp
+++ b/tests/fleet/view/message_test.cpp
@@ -132,7 +132,7 @@
   Seal seal("tartu", {std::string(32, 'k')});
   std::mt19937_64 random(24);
   Said said = sample();
-  const std::string body = encode(said), sealed = seal.close({1, "boris", 1, 0, Part::view, body});
+  const std::string body = encode(said), sealed = seal.close({1, "boris", 1, 0, Component::view, body});
   std::size_t opened = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string bad = sealed;
--- a/tests/fleet/wire/wire_test.cpp
+++ b/tests/fleet/wire/wire_test.cpp
@@ -22,7 +22,7 @@
   e.sender = "alva";
   e.incarnation = 7;
   e.sent_at = 1'000'000'007;
-  e.part = Part::record;
+  e.component = Component::record;
   e.body = std::move(body);
   return e;
 }
@@ -68,7 +68,7 @@
     CHECK(out->sender == in.sender);
     CHECK(out->incarnation == 7);
     CHECK(out->sent_at == in.sent_at);
-    CHECK(out->part == Part::record);
+    CHECK(out->component == Component::record);
     CHECK(out->body == in.body);
     if (size == 1200) CHECK_FALSE(refusal(seal, seal.close(in), Transport::datagram));
   }
@@ -93,7 +93,7 @@
   newer.schema = kSchemaNewest + 1;
   CHECK(refusal(seal, seal.close(newer)) == Dropped::schema);
   Envelope elsewhere = sample();
-  elsewhere.part = static_cast<Part>(99);
+  elsewhere.component = static_cast<Component>(99);
   CHECK(refusal(seal, seal.close(elsewhere)) == Dropped::schema);
   Envelope nobody = sample();
   nobody.sender.clear();
