--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -190,7 +190,7 @@
   const auto how = static_cast<unsigned char>(bytes[0]);
   const std::string body = how & 4 ? with_hash(bytes.substr(1)) : std::string(bytes.substr(1));
   Hearer hearer(static_cast<Part_in>(how % 4 % 3));
-  check::on_broken = [](const char*, const std::string&) {};
+  check::on_violation = [](const char*, const std::string&) {};
   for (int times = 0; times < 2; ++times)
     hearer.hear(how & 32 ? "stranger" : "boris", how & 8 ? Component::view : Component::record, body,
                 how & 16 ? Transport::datagram : Transport::stream);
@@ -198,7 +198,7 @@
   hearer.node->routes()->route(hearer.now, "ride", "acme", "7");
   Reservation reservation;
   hearer.node->wallets()->reserve(hearer.now, "acme", "ride", reservation);
-  check::on_broken = nullptr;
+  check::on_violation = nullptr;
 }
 
 }  // namespace marblehub::fleet::reading
--- a/src/check/check.h
+++ b/src/check/check.h
@@ -9,33 +9,33 @@
 
 namespace marblehub::check {
 
-struct Broken : std::logic_error {
-  Broken(const char* part, const std::string& what)
-      : std::logic_error(std::string(part) + ": " + what), part(part) {}
-  const char* part;
+struct InvariantViolation : std::logic_error {
+  InvariantViolation(const char* component, const std::string& what)
+      : std::logic_error(std::string(component) + ": " + what), component(component) {}
+  const char* component;
 };
 
 // The way out in service: called instead of throwing. Set once by main; in tests it stays empty.
-inline std::function<void(const char* part, const std::string& what)> on_broken;
+inline std::function<void(const char* component, const std::string& what)> on_violation;
 
-inline void broken(const char* part, const std::string& what) {
-  if (!on_broken) throw Broken(part, what);
-  on_broken(part, what);
+inline void report_violation(const char* component, const std::string& what) {
+  if (!on_violation) throw InvariantViolation(component, what);
+  on_violation(component, what);
 }
 
 }  // namespace marblehub::check
 
 // Cheap: O(1), in service too.
-#define MARBLEHUB_HOLDS(part, condition, what)                \
-  do {                                                        \
-    if (!(condition)) ::marblehub::check::broken(part, what); \
+#define MARBLEHUB_INVARIANT(component, condition, what)                      \
+  do {                                                                       \
+    if (!(condition)) ::marblehub::check::report_violation(component, what); \
   } while (false)
 
 // Dear: walks the state; in test builds alone.
 #ifdef MARBLEHUB_CHECKS
-#define MARBLEHUB_HOLDS_ALL(part, condition, what) MARBLEHUB_HOLDS(part, condition, what)
+#define MARBLEHUB_DEBUG_INVARIANT(component, condition, what) MARBLEHUB_INVARIANT(component, condition, what)
 #else
-#define MARBLEHUB_HOLDS_ALL(part, condition, what) \
-  do {                                             \
+#define MARBLEHUB_DEBUG_INVARIANT(component, condition, what) \
+  do {                                                        \
   } while (false)
 #endif
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -51,7 +51,7 @@
 
 void Node::settle(Time now, Outbox& out) {
   const std::uint64_t generation = view_->generation();
-  MARBLEHUB_HOLDS("node", generation >= generation_, "the view's generation went back");
+  MARBLEHUB_INVARIANT("node", generation >= generation_, "the view's generation went back");
   if (generation != generation_ || alive_.empty()) {
     generation_ = generation;
     alive_.clear();
@@ -65,7 +65,7 @@
     const std::uint64_t applied = record_->ledger().applied;
     if (routes_) routes_->step(now, *record_, alive_, out);
     if (wallets_) wallets_->step(now, *record_, alive_, out);
-    MARBLEHUB_HOLDS("node", record_->ledger().applied >= applied, "the record went back");
+    MARBLEHUB_INVARIANT("node", record_->ledger().applied >= applied, "the record went back");
     if (record_->ledger().applied == applied) break;
   }
 }
--- a/src/fleet/record/command.cpp
+++ b/src/fleet/record/command.cpp
@@ -217,8 +217,9 @@
   if (id.number > turn) return "before its turn";
   last = id;
   std::string why = std::visit([&](const auto& body) { return change(ledger, id, body); }, command.body);
-  MARBLEHUB_HOLDS_ALL("record", balanced(ledger), "a wallet's sums are off at " + std::to_string(index));
-  MARBLEHUB_HOLDS_ALL("record", ordered(ledger.routes), "route versions out of order");
+  MARBLEHUB_DEBUG_INVARIANT("record", balanced(ledger),
+                            "a wallet's sums are off at " + std::to_string(index));
+  MARBLEHUB_DEBUG_INVARIANT("record", ordered(ledger.routes), "route versions out of order");
   return why;
 }
 
--- a/src/fleet/record/election.cpp
+++ b/src/fleet/record/election.cpp
@@ -18,8 +18,8 @@
 
 bool Record::State::adopt(std::uint64_t term, const std::string& voted) {
   if (term == kept.term && voted == kept.voted) return true;
-  MARBLEHUB_HOLDS("record", term > kept.term || (term == kept.term && kept.voted.empty()),
-                  "a second vote in term " + std::to_string(term));
+  MARBLEHUB_INVARIANT("record", term > kept.term || (term == kept.term && kept.voted.empty()),
+                      "a second vote in term " + std::to_string(term));
   Disk::Term wanted = kept;
   wanted.term = term;
   wanted.voted = voted;
--- a/src/fleet/record/replication.cpp
+++ b/src/fleet/record/replication.cpp
@@ -83,7 +83,7 @@
     if (!adopt(message.term, "")) return;
     follow(now);
   }
-  MARBLEHUB_HOLDS("record", role != Role::leader, "two leaders in term " + std::to_string(message.term));
+  MARBLEHUB_INVARIANT("record", role != Role::leader, "two leaders in term " + std::to_string(message.term));
   if (role != Role::follower) follow(now);
   leader = from;
   heard = now;
@@ -103,10 +103,10 @@
     entries.push_back({entry->index, entry->term, std::move(entry->command)});
   for (std::size_t i = 0; i < entries.size(); ++i) {
     if (entries[i].index != before + 1 + i) return;
-    MARBLEHUB_HOLDS("record",
-                    entries[i].index > ledger.applied || entries[i].index <= log.base() ||
-                        log.term_at(entries[i].index) == std::optional(entries[i].term),
-                    "an applied entry would change");
+    MARBLEHUB_INVARIANT("record",
+                        entries[i].index > ledger.applied || entries[i].index <= log.base() ||
+                            log.term_at(entries[i].index) == std::optional(entries[i].term),
+                        "an applied entry would change");
   }
   if (!entries.empty() && !log.append(entries)) {
     disk_failed = disk != nullptr;
--- a/src/fleet/routes/routes.cpp
+++ b/src/fleet/routes/routes.cpp
@@ -59,8 +59,8 @@
   why = judged.why;
   const Held* table = find(judged.version);
   if (judged.held && (table || judged.version == 0)) {
-    MARBLEHUB_HOLDS("routes", judged.version >= newest_placed,
-                    "placed by an older version after a newer one");
+    MARBLEHUB_INVARIANT("routes", judged.version >= newest_placed,
+                        "placed by an older version after a newer one");
     newest_placed = std::max(newest_placed, judged.version);
     return {table ? Placing::by_table : Placing::plain, judged.version, table};
   }
@@ -135,9 +135,9 @@
   s.driver.step(now, record, alive, out);
   s.turn = routes.next != 0 && now < routes.moment ? routes.moment : 0;
   s.current = s.lease.judge(now).version;
-  MARBLEHUB_HOLDS("routes", routes.next == 0 || routes.next > routes.in_force,
-                  "the next version is not newer");
-  MARBLEHUB_HOLDS_ALL("routes", s.held.size() <= kMostHeld, "more tables held than are used");
+  MARBLEHUB_INVARIANT("routes", routes.next == 0 || routes.next > routes.in_force,
+                      "the next version is not newer");
+  MARBLEHUB_DEBUG_INVARIANT("routes", s.held.size() <= kMostHeld, "more tables held than are used");
 }
 
 Time Routes::next_due() const {
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -66,7 +66,7 @@
   for (const char* why : kAborts)
     aborted_[why] = &m.counter("marblehub_fleet_activations_aborted_total",
                                "Route activations that were aborted", {{"why", why}});
-  check::on_broken = [this](const char* part, const std::string& what) {
+  check::on_violation = [this](const char* part, const std::string& what) {
     if (broken_.insert(part).second)
       log::error("fleet: {} is off, what must hold was broken: {}", part, what);
   };
@@ -81,7 +81,7 @@
   follow(std::move(files));
 }
 
-Service::~Service() { check::on_broken = nullptr; }
+Service::~Service() { check::on_violation = nullptr; }
 
 NodeParts Service::parts(Files& files, const config::Startup& startup, Time now) {
   NodeParts parts;
--- a/src/fleet/view/news.cpp
+++ b/src/fleet/view/news.cpp
@@ -117,7 +117,8 @@
 
 void View::State::take_over(Time now, Member& member, const News& news) {
   const bool was = is_present(member.standing), is = is_present(news.standing);
-  MARBLEHUB_HOLDS("view", news.incarnation >= member.incarnation, "an incarnation goes back: " + member.name);
+  MARBLEHUB_INVARIANT("view", news.incarnation >= member.incarnation,
+                      "an incarnation goes back: " + member.name);
   digest ^= share(member);
   if (is_gone(member.standing)) --gone;
   if (is_gone(news.standing)) ++gone;
--- a/src/fleet/view/probes.cpp
+++ b/src/fleet/view/probes.cpp
@@ -28,7 +28,7 @@
   for (view::News& news : gossip.take(present, view::kLongestBody - used, to))
     said.news.push_back(std::move(news));
   Outgoing outgoing{known ? to : "@" + at, Component::view, Transport::datagram, view::encode(said)};
-  MARBLEHUB_HOLDS("view", outgoing.body.size() <= view::kLongestBody, "a datagram over its bound");
+  MARBLEHUB_INVARIANT("view", outgoing.body.size() <= view::kLongestBody, "a datagram over its bound");
   out.push_back(std::move(outgoing));
 }
 
--- a/src/fleet/view/view.cpp
+++ b/src/fleet/view/view.cpp
@@ -95,21 +95,22 @@
 }
 
 void View::State::check() const {
-  MARBLEHUB_HOLDS("view", self().standing == (left ? Standing::left : Standing::alive), "holds itself gone");
-  MARBLEHUB_HOLDS("view", members.size() <= kMostMembers + 1, "more members than its bound");
-  MARBLEHUB_HOLDS("view", health >= 0 && health <= kWorstHealth, "health out of its bounds");
-  MARBLEHUB_HOLDS_ALL("view", gossip.bounded(members.size()), "gossip over its bound");
+  MARBLEHUB_INVARIANT("view", self().standing == (left ? Standing::left : Standing::alive),
+                      "holds itself gone");
+  MARBLEHUB_INVARIANT("view", members.size() <= kMostMembers + 1, "more members than its bound");
+  MARBLEHUB_INVARIANT("view", health >= 0 && health <= kWorstHealth, "health out of its bounds");
+  MARBLEHUB_DEBUG_INVARIANT("view", gossip.bounded(members.size()), "gossip over its bound");
 #ifdef MARBLEHUB_CHECKS
   std::size_t there = 0, away = 0, suspects = 0;
   for (const auto& [one, member] : members) {
     there += is_present(member.standing);
     away += is_gone(member.standing);
     suspects += member.standing == Standing::suspect;
-    MARBLEHUB_HOLDS_ALL("view", (member.standing == Standing::suspect) == (suspicions.count(one) == 1),
-                        "a suspect without a term: " + one);
+    MARBLEHUB_DEBUG_INVARIANT("view", (member.standing == Standing::suspect) == (suspicions.count(one) == 1),
+                              "a suspect without a term: " + one);
   }
-  MARBLEHUB_HOLDS_ALL("view", there == present && away == gone && suspects == suspicions.size(),
-                      "its counts are not those of its members");
+  MARBLEHUB_DEBUG_INVARIANT("view", there == present && away == gone && suspects == suspicions.size(),
+                            "its counts are not those of its members");
 #endif
 }
 
--- a/src/fleet/wallet/slices.cpp
+++ b/src/fleet/wallet/slices.cpp
@@ -49,7 +49,7 @@
   if (!closed_) take(now, till, plan, settings, book, members, floats, dearest, out);
   for (const Held& held : till.held) {
     (void)held;
-    MARBLEHUB_HOLDS_ALL(
+    MARBLEHUB_DEBUG_INVARIANT(
         "wallet",
         held.stage == Stage::empty || (held.reserved >= 0 && held.spent + held.reserved <= held.amount),
         "a slice's reservations and debits come to more than its amount");
@@ -91,8 +91,8 @@
   for (const auto& [id, amount] : wallet->held_back) held_back += amount;
   for (const auto& [id, slice] : wallet->out) out += slice.amount;
   till.totals = {wallet->paid, wallet->balance, out, wallet->spent, held_back, till.spent_here};
-  MARBLEHUB_HOLDS("wallet", wallet->paid == wallet->balance + out + wallet->spent,
-                  "a wallet's deposits are not its balance, slices and spending");
+  MARBLEHUB_INVARIANT("wallet", wallet->paid == wallet->balance + out + wallet->spent,
+                      "a wallet's deposits are not its balance, slices and spending");
   for (Held& held : till.held) {
     if (held.stage == Stage::empty || wallet->out.count(held.id)) continue;
     if (wallet->held_back.count(held.id)) {
@@ -116,7 +116,7 @@
   auto free = std::find_if(till.held.begin(), till.held.end(),
                            [](const Held& held) { return held.stage == Stage::empty; });
   Held& held = free == till.held.end() ? till.held.emplace_back() : *free;
-  MARBLEHUB_HOLDS("wallet", slice.amount <= plan.wanted, "a slice holds more than was asked for");
+  MARBLEHUB_INVARIANT("wallet", slice.amount <= plan.wanted, "a slice holds more than was asked for");
   held = Held{};
   held.id = id;
   held.stage = closed_ ? Stage::closing : Stage::open;
@@ -257,8 +257,8 @@
   plan.ask_at.reset();
   plan.asked_for = terms_.name + "/" + std::to_string(terms_.incarnation) + "/" + std::to_string(++taken_);
   plan.wanted = wanted;
-  MARBLEHUB_HOLDS("wallet", held_by(till) + wanted <= settings.max_held_back,
-                  "more is asked for than may be held back");
+  MARBLEHUB_INVARIANT("wallet", held_by(till) + wanted <= settings.max_held_back,
+                      "more is asked for than may be held back");
   plan.command = book.propose(now,
                               TakeSlice{till.tenant, plan.asked_for, terms_.name, terms_.incarnation, wanted,
                                         now + settings.term, least},
--- a/src/fleet/wallet/tills.cpp
+++ b/src/fleet/wallet/tills.cpp
@@ -72,18 +72,19 @@
   if (reservation.price == 0) return;  // of a call that was no wallet's affair
   bool known =
       reservation.wallet < tills_.size() && reservation.slice < tills_[reservation.wallet].held.size();
-  MARBLEHUB_HOLDS("wallet", known, "a debit names a slice that was never held");
+  MARBLEHUB_INVARIANT("wallet", known, "a debit names a slice that was never held");
   if (!known) return;
   Till& till = tills_[reservation.wallet];
   Held& held = till.held[reservation.slice];
   bool reserved = held.reserved >= reservation.price;
-  MARBLEHUB_HOLDS("wallet", reserved, "a debit has no reservation");
+  MARBLEHUB_INVARIANT("wallet", reserved, "a debit has no reservation");
   if (!reserved) return;
   held.reserved -= reservation.price;
   if (!served) return;
   held.spent += reservation.price;
   till.spent_here += reservation.price;
-  MARBLEHUB_HOLDS("wallet", held.spent + held.reserved <= held.amount, "a slice is spent beyond its amount");
+  MARBLEHUB_INVARIANT("wallet", held.spent + held.reserved <= held.amount,
+                      "a slice is spent beyond its amount");
 }
 
 }  // namespace marblehub::fleet
