--- a/bench/fleet_record.cpp
+++ b/bench/fleet_record.cpp
@@ -28,7 +28,7 @@
 
 class Meter {
  public:
-  explicit Meter(Nodes& nodes) : nodes_(nodes), seal_("fleet", {std::string(32, 'k')}) {
+  explicit Meter(Nodes& nodes) : nodes_(nodes), sealer_("fleet", {std::string(32, 'k')}) {
     nodes.seen_by_wire = [this](const Nodes::Event& e) { seen(e); };
   }
   void begin() {
@@ -71,7 +71,7 @@
     const auto& from = nodes_.members.at(e.from);
     const bool voter = std::ranges::count(from.settings.voters, e.from) != 0;
     const bool leads = from.node->record().role() == Role::leader;
-    const std::size_t octets = seal_.close({1, "balancer-100", 1, 1, e.what.component, e.what.body}).size() +
+    const std::size_t octets = sealer_.seal({1, "balancer-100", 1, 1, e.what.component, e.what.body}).size() +
                                (e.what.transport == Transport::stream ? kAroundStream : kAroundDatagram);
     Count& count = counts_[{leads ? "leader" : voter ? "voter" : "observer", kind}];
     ++count.messages;
@@ -80,7 +80,7 @@
   }
 
   Nodes& nodes_;
-  Seal seal_;
+  EnvelopeSealer sealer_;
   std::map<std::pair<std::string, std::size_t>, Count> counts_;
   std::map<std::string, double> members_;
   Time begun_ = 0;
--- a/bench/fleet_view.cpp
+++ b/bench/fleet_view.cpp
@@ -128,9 +128,9 @@
   const auto seeds = static_cast<std::uint64_t>(word(1, 10));
   const auto threads = static_cast<std::size_t>(word(2, 2)), members = static_cast<std::size_t>(word(3, 300));
   const Time watched = word(4, 120) * kSecond;
-  Seal seal("fleet", {std::string(32, 'k')});
+  EnvelopeSealer sealer("fleet", {std::string(32, 'k')});
   const std::size_t around =
-      28 + seal.close({1, "balancer-100", 1, 1, Component::view, std::string(100, 'x')}).size() -
+      28 + sealer.seal({1, "balancer-100", 1, 1, Component::view, std::string(100, 'x')}).size() -
       100;  // IP, UDP, seal
   std::printf("%zu members, %llu seeds, %lld s watched each, %zu octets around a body\n", members,
               static_cast<unsigned long long>(seeds), static_cast<long long>(watched / kSecond), around);
--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -79,19 +79,20 @@
 
 // True: something was read that verified.
 inline bool read_each(std::string_view bytes) {
-  static const Seal seal("tartu", {kKey});
+  static const EnvelopeSealer sealer("tartu", {kKey});
   bool read = false;
   for (Transport transport : {Transport::datagram, Transport::stream})
     for (const std::string& octets : {std::string(bytes), with_code(bytes)}) {
-      Dropped why{};
-      const auto envelope = seal.open(octets, why, transport);
+      DropReason why{};
+      const auto envelope = sealer.open(octets, why, transport);
       if (!envelope) continue;
       read = true;
-      demand(octets.size() <= (transport == Transport::datagram ? kLongestDatagram : kLongestStream));
-      demand(!envelope->sender.empty() && envelope->sender.size() <= kLongestName);
-      const auto again = seal.open(seal.close(*envelope), why);
+      demand(octets.size() <=
+             (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes));
+      demand(!envelope->sender.empty() && envelope->sender.size() <= kMaxNameBytes);
+      const auto again = sealer.open(sealer.seal(*envelope), why);
       demand(again ? again->body == envelope->body && again->sender == envelope->sender
-                   : why == Dropped::too_long);
+                   : why == DropReason::too_long);
     }
   if (const auto said = view::decode(bytes)) {
     read = true;
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -21,19 +21,19 @@
                                 "stale",    "stranger",   "streams",     "queue",  "unreachable",
                                 "stalled",  "no_address", "datagram",    "too_big"};
 
-const char* reason_of(Dropped why) {
+const char* reason_of(DropReason why) {
   switch (why) {
-    case Dropped::too_long:
+    case DropReason::too_long:
       return "too_long";
-    case Dropped::cut:
+    case DropReason::malformed:
       return "cut";
-    case Dropped::other_fleet:
+    case DropReason::other_fleet:
       return "other_fleet";
-    case Dropped::forged:
+    case DropReason::forged:
       return "forged";
-    case Dropped::schema:
+    case DropReason::schema:
       return "schema";
-    case Dropped::stale:
+    case DropReason::stale:
       break;
   }
   return "stale";
@@ -59,11 +59,11 @@
 
 }  // namespace
 
-Driver::Driver(net::Loop& loop, NodeParts parts, Seal seal, metrics::Registry& m)
+Driver::Driver(net::Loop& loop, NodeParts parts, EnvelopeSealer sealer, metrics::Registry& m)
     : loop_(loop),
       settings_(parts.settings),
       incarnation_(parts.incarnation),
-      seal_(std::move(seal)),
+      sealer_(std::move(sealer)),
       gate_(settings_),
       udp_(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
       reading_(loop, [this](int) { datagrams(); }),
@@ -121,7 +121,7 @@
 }
 
 void Driver::datagrams() {
-  char buffer[kLongestDatagram + 1];
+  char buffer[kMaxDatagramBytes + 1];
   for (int i = 0; i < kDatagramsAtOnce; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -129,7 +129,7 @@
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
     if (n < 0) continue;  // the word of an earlier one that was not taken
-    if (static_cast<std::size_t>(n) > kLongestDatagram)
+    if (static_cast<std::size_t>(n) > kMaxDatagramBytes)
       dropped("too_long");
     else
       arrived({buffer, static_cast<std::size_t>(n)}, Transport::datagram, &from);
@@ -137,8 +137,8 @@
 }
 
 bool Driver::arrived(std::string_view octets, Transport transport, const sockaddr_in* from) {
-  Dropped why = Dropped::cut;
-  auto envelope = seal_.open(octets, why, transport);
+  DropReason why = DropReason::malformed;
+  auto envelope = sealer_.open(octets, why, transport);
   if (!envelope) {
     dropped(reason_of(why));
     return false;
@@ -181,14 +181,15 @@
     Envelope envelope;
     // In a rolling upgrade the elder's schema is spoken.
     if (auto it = members.find(message.to); it != members.end())
-      envelope.schema = std::clamp(it->second.schema, kSchemaOldest, kSchemaNewest);
+      envelope.schema = std::clamp(it->second.schema, kOldestSchema, kNewestSchema);
     envelope.sender = settings_.name;
     envelope.incarnation = incarnation_;
     envelope.sent_at = now();
     envelope.component = message.component;
     envelope.body = std::move(message.body);
-    std::string sealed = seal_.close(envelope);
-    if (sealed.size() > (message.transport == Transport::stream ? kLongestStream : kLongestDatagram)) {
+    std::string sealed = sealer_.seal(envelope);
+    if (sealed.size() >
+        (message.transport == Transport::stream ? kMaxStreamMessageBytes : kMaxDatagramBytes)) {
       dropped("too_big");
       continue;
     }
--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -21,7 +21,7 @@
 class Driver {
  public:
   // Throws std::runtime_error with the address where it cannot be bound. parts.settings must be enabled.
-  Driver(net::Loop& loop, NodeParts parts, Seal seal, metrics::Registry& metrics);
+  Driver(net::Loop& loop, NodeParts parts, EnvelopeSealer sealer, metrics::Registry& metrics);
   ~Driver();
   Driver(const Driver&) = delete;
 
@@ -50,7 +50,7 @@
   net::Loop& loop_;
   const Settings settings_;
   const std::uint64_t incarnation_;
-  Seal seal_;
+  EnvelopeSealer sealer_;
   Gate gate_;
   std::unique_ptr<Node> node_;
   net::Fd udp_;
--- a/src/fleet/net/peers.cpp
+++ b/src/fleet/net/peers.cpp
@@ -55,7 +55,7 @@
     std::size_t at = 0;
     while (in.size() - at >= kHead) {
       std::size_t size = length_in(std::string_view(in).substr(at));
-      if (size > kLongestStream) {
+      if (size > kMaxStreamMessageBytes) {
         owner.heard_.dropped("too_long");
         return end();
       }
--- a/src/fleet/net/peers.h
+++ b/src/fleet/net/peers.h
@@ -16,10 +16,11 @@
 
 namespace marblehub::fleet {
 
-constexpr std::size_t kStreamQueue = 2 * kLongestStream;  // octets unsent to one peer; more are dropped
-constexpr std::size_t kStreamsMost = 1024;                // of others
-constexpr std::size_t kUnprovenMost = 64;                 // of others that have not shown the key yet
-constexpr Time kUnproven = 5 * kSecond;                   // until a stream must have shown it
+constexpr std::size_t kStreamQueue =
+    2 * kMaxStreamMessageBytes;             // octets unsent to one peer; more are dropped
+constexpr std::size_t kStreamsMost = 1024;  // of others
+constexpr std::size_t kUnprovenMost = 64;   // of others that have not shown the key yet
+constexpr Time kUnproven = 5 * kSecond;     // until a stream must have shown it
 constexpr Time kConnectWithin = 2 * kSecond, kStalled = 10 * kSecond, kIdle = 60 * kSecond;
 constexpr Time kAfterFailure = 200 * kMillisecond;  // a peer that could not be reached is left alone so long
 
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -41,7 +41,7 @@
       configured_(startup.settings.balancers),
       classes_(class_names(startup)),
       driver_(loop, parts(files, startup, fleet_clock(loop)),
-              Seal(settings_.fleet, keys_in(settings_.key_file)), m),
+              EnvelopeSealer(settings_.fleet, read_key_file(settings_.key_file)), m),
       began_(driver_.now()),
       version_(m.gauge("marblehub_fleet_routes_version", "The route version in force")),
       fenced_(m.gauge("marblehub_fleet_fenced", "1 while this balancer places nothing new by routes")),
--- a/src/fleet/settings/settings.cpp
+++ b/src/fleet/settings/settings.cpp
@@ -77,7 +77,7 @@
 void check_machine(const Options& options, const Settings& s, bool votes) {
   if (!own_address(s.listen)) options.refuse("listen", "an address of this machine, and not " + s.listen);
   try {
-    keys_in(s.key_file);
+    read_key_file(s.key_file);
   } catch (const std::runtime_error& error) {
     options.refuse("key_file", std::string("a key: ") + error.what());
   }
--- a/src/fleet/wire/envelope.cpp
+++ b/src/fleet/wire/envelope.cpp
@@ -33,12 +33,12 @@
 
 }  // namespace
 
-Seal::Seal(std::string fleet, std::vector<std::string> keys)
+EnvelopeSealer::EnvelopeSealer(std::string fleet, std::vector<std::string> keys)
     : fleet_(std::move(fleet)), keys_(std::move(keys)) {
   if (keys_.empty()) throw std::invalid_argument("a seal needs a key");
 }
 
-std::string Seal::close(const Envelope& envelope) const {
+std::string EnvelopeSealer::seal(const Envelope& envelope) const {
   flatbuffers::FlatBufferBuilder builder(envelope.body.size() + 256);
   auto fleet = builder.CreateString(fleet_);
   auto sender = builder.CreateString(envelope.sender);
@@ -53,35 +53,37 @@
   return sealed.append(octets);
 }
 
-std::optional<Envelope> Seal::open(std::string_view octets, Dropped& why, Transport transport) const {
-  auto drop = [&](Dropped reason) {
+std::optional<Envelope> EnvelopeSealer::open(std::string_view octets, DropReason& why,
+                                             Transport transport) const {
+  auto drop = [&](DropReason reason) {
     why = reason;
     return std::nullopt;
   };
-  if (octets.size() > (transport == Transport::datagram ? kLongestDatagram : kLongestStream))
-    return drop(Dropped::too_long);
-  if (octets.size() < kCode + sizeof(flatbuffers::uoffset_t)) return drop(Dropped::cut);
+  if (octets.size() > (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes))
+    return drop(DropReason::too_long);
+  if (octets.size() < kCode + sizeof(flatbuffers::uoffset_t)) return drop(DropReason::malformed);
   std::string_view inside = octets.substr(kCode);
   auto length = flatbuffers::ReadScalar<flatbuffers::uoffset_t>(inside.data());
-  if (length != inside.size() - sizeof(length)) return drop(Dropped::cut);
+  if (length != inside.size() - sizeof(length)) return drop(DropReason::malformed);
 
   bool ours = false;  // every key is tried, so that the time taken does not tell which one fits
   for (const std::string& key : keys_) {
     Code code = code_of(key, inside);
     ours |= CRYPTO_memcmp(code.data(), octets.data(), kCode) == 0;
   }
-  if (!ours) return drop(Dropped::forged);
+  if (!ours) return drop(DropReason::forged);
 
   // flatbuffers reads in place and wants its own alignment: a copy has it.
   std::string copy(inside);
   const auto* data = reinterpret_cast<const std::uint8_t*>(copy.data());
   flatbuffers::Verifier verifier(data, copy.size());
-  if (!wire::VerifySizePrefixedSealedBuffer(verifier)) return drop(Dropped::cut);
+  if (!wire::VerifySizePrefixedSealedBuffer(verifier)) return drop(DropReason::malformed);
   const wire::Sealed& sealed = *wire::GetSizePrefixedSealed(data);
-  if (sealed.fleet()->string_view() != fleet_) return drop(Dropped::other_fleet);
-  if (sealed.schema() < kSchemaOldest || sealed.schema() > kSchemaNewest || !component_known(sealed.part()))
-    return drop(Dropped::schema);
-  if (sealed.sender()->size() == 0 || sealed.sender()->size() > kLongestName) return drop(Dropped::cut);
+  if (sealed.fleet()->string_view() != fleet_) return drop(DropReason::other_fleet);
+  if (sealed.schema() < kOldestSchema || sealed.schema() > kNewestSchema || !component_known(sealed.part()))
+    return drop(DropReason::schema);
+  if (sealed.sender()->size() == 0 || sealed.sender()->size() > kMaxNameBytes)
+    return drop(DropReason::malformed);
 
   Envelope envelope;
   envelope.schema = sealed.schema();
--- a/src/fleet/wire/freshness.cpp
+++ b/src/fleet/wire/freshness.cpp
@@ -4,7 +4,7 @@
 
 namespace marblehub::fleet {
 
-bool Freshness::fresh(Time now, const Envelope& envelope) {
+bool ReplayFilter::accept(Time now, const Envelope& envelope) {
   // Compared without adding to what a stranger's clock says: that may be any number.
   if (envelope.sent_at < now - window_ || envelope.sent_at > now + window_) return false;
   auto it = latest_.find(envelope.sender);
--- a/src/fleet/wire/keys.cpp
+++ b/src/fleet/wire/keys.cpp
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-std::vector<std::string> keys_in(const std::string& path) {
+std::vector<std::string> read_key_file(const std::string& path) {
   std::string text = text_of(path);
   std::vector<std::string> keys;
   std::size_t number = 0;
--- a/tests/fleet/processes/node_main.cpp
+++ b/tests/fleet/processes/node_main.cpp
@@ -19,9 +19,9 @@
   metrics::Registry metrics;
   parts.incarnation = fleet::new_incarnation(parts.settings.data, fleet::fleet_clock(loop));
   parts.seed = parts.incarnation;
-  fleet::Seal seal(parts.settings.fleet, fleet::keys_in(parts.settings.key_file));
+  fleet::EnvelopeSealer sealer(parts.settings.fleet, fleet::read_key_file(parts.settings.key_file));
   bool refused = false;
-  fleet::Driver driver(loop, std::move(parts), std::move(seal), metrics);
+  fleet::Driver driver(loop, std::move(parts), std::move(sealer), metrics);
   driver.on_refused([&](const std::string&) {
     refused = true;
     loop.stop();
--- a/tests/fleet/processes/peers_test.cpp
+++ b/tests/fleet/processes/peers_test.cpp
@@ -46,7 +46,7 @@
   Side a(loop), b(loop);
   std::vector<std::string> sent;
   for (std::size_t size :
-       {std::size_t{0}, std::size_t{1}, std::size_t{70'000}, kLongestStream, std::size_t{5}})
+       {std::size_t{0}, std::size_t{1}, std::size_t{70'000}, kMaxStreamMessageBytes, std::size_t{5}})
     sent.push_back(std::string(size, static_cast<char>('a' + sent.size())));
   for (const std::string& s : sent) a.peers->send(b.at, s);
   run(loop, 3 * kSecond, [&] { return b.frames.size() == sent.size(); });
@@ -63,9 +63,11 @@
   CHECK(a.dropped["unreachable"] == 1);
   int deaf = bound(SOCK_STREAM);
   ::listen(deaf, 1);
-  for (int i = 0; i < 8; ++i) a.peers->send(loopback(port_of(deaf)), std::string(kLongestStream / 2, 'x'));
+  for (int i = 0; i < 8; ++i)
+    a.peers->send(loopback(port_of(deaf)), std::string(kMaxStreamMessageBytes / 2, 'x'));
   run(loop, 100 * kMillisecond, [] { return false; });
-  for (int i = 0; i < 40; ++i) a.peers->send(loopback(port_of(deaf)), std::string(kLongestStream / 2, 'x'));
+  for (int i = 0; i < 40; ++i)
+    a.peers->send(loopback(port_of(deaf)), std::string(kMaxStreamMessageBytes / 2, 'x'));
   CHECK(a.dropped["queue"] > 0);
   a.peers->send(b.at, "others");
   run(loop, kSecond, [&] { return !b.frames.empty(); });
--- a/tests/fleet/processes/settings_test.cpp
+++ b/tests/fleet/processes/settings_test.cpp
@@ -75,7 +75,7 @@
   CHECK(s.seeds.size() == 2);
   CHECK(s.via.at("b2") == "127.0.0.1:9");
   CHECK(s.via.at("b3.x") == "127.0.0.1:10");
-  std::vector<std::string> keys = fleet::keys_in(s.key_file);
+  std::vector<std::string> keys = fleet::read_key_file(s.key_file);
   REQUIRE(keys.size() == 2);
   CHECK(keys[0] == std::string(32, '\xaa'));
 }
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -97,7 +97,7 @@
   for (const std::string& command : commands()) seeds.push_back(unhashed(command));
   seeds.push_back(unhashed(ledger_of(20)));
   const std::string envelope =
-      Seal("tartu", {kKey}).close({1, "boris", 1, kStart, Component::view, of_view().front()});
+      EnvelopeSealer("tartu", {kKey}).seal({1, "boris", 1, kStart, Component::view, of_view().front()});
   seeds.push_back(envelope.substr(36));  // without code and length: they are put there anew
   for (const std::string& seed : seeds) REQUIRE(read_each(seed));  // the seeds are what they are to be
   Changer changer{std::mt19937_64(20261203)};
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -28,7 +28,7 @@
     s.name = "alva";
     s.listen = s.advertise = "127.0.0.1:" + std::to_string(port);
     s.members = {"alva", "boris", "celia"};
-    driver = std::make_unique<Driver>(loop, std::move(parts), Seal("tartu", {kKey}), metrics);
+    driver = std::make_unique<Driver>(loop, std::move(parts), EnvelopeSealer("tartu", {kKey}), metrics);
   }
   std::map<std::string, int> dropped() const {
     std::map<std::string, int> all;
@@ -62,18 +62,19 @@
 
 TEST_CASE("strangers' messages on the sockets change nothing and count by their reasons", "[mutation]") {
   Alva alva;
-  const Seal ours("tartu", {kKey}), theirs("narva", {kKey}), forger("tartu", {std::string(32, 'f')});
+  const EnvelopeSealer ours("tartu", {kKey}), theirs("narva", {kKey}),
+      forger("tartu", {std::string(32, 'f')});
   view::Said said;
   said.kind = view::Kind::ping;
   said.born = said.incarnation = 1;
   said.address = "127.0.0.1:" + std::to_string(free_port());
   const auto from = [&](const char* sender, Time sent_at) {
-    return Envelope{kSchemaNewest, sender, 1, sent_at, Component::view, view::encode(said)};
+    return Envelope{kNewestSchema, sender, 1, sent_at, Component::view, view::encode(said)};
   };
   const Time now = alva.driver->now();
   Envelope newer = from("boris", now);
-  newer.schema = kSchemaNewest + 1;
-  const std::string good = ours.close(from("boris", now));
+  newer.schema = kNewestSchema + 1;
+  const std::string good = ours.seal(from("boris", now));
   std::map<std::string, int> expected;
   std::vector<std::string> messages;
   const auto add = [&](const std::string& octets, const std::string& reason) {
@@ -81,11 +82,11 @@
     ++expected[reason];
   };
   for (int i = 0; i < 8; ++i) {
-    add(ours.close(newer), "schema");
-    add(theirs.close(from("boris", now)), "other_fleet");
-    add(forger.close(from("boris", now)), "forged");
-    add(ours.close(from("boris", now - 2 * kFirstMeeting)), "stale");
-    add(ours.close(from("mallory", now)), "stranger");
+    add(ours.seal(newer), "schema");
+    add(theirs.seal(from("boris", now)), "other_fleet");
+    add(forger.seal(from("boris", now)), "forged");
+    add(ours.seal(from("boris", now - 2 * kFirstMeeting)), "stale");
+    add(ours.seal(from("mallory", now)), "stranger");
   }
   Changer changer{std::mt19937_64(20261206)};
   while (messages.size() < 4000) {
@@ -93,7 +94,7 @@
     changer.change(bad);
     if (bad == good) continue;
     bad.resize(std::min<std::size_t>(bad.size(), 60'000));  // what one datagram takes
-    Dropped why{};
+    DropReason why{};
     REQUIRE_FALSE(ours.open(bad, why, Transport::datagram));
     add(bad, kWords[static_cast<int>(why)]);
   }
@@ -131,7 +132,7 @@
   CHECK(alva.received() == 0);
   CHECK(alva.driver->node().view().digest() == digest);
   CHECK(alva.driver->node().view().generation() == generation);
-  send(ours.close(from("boris", alva.driver->now())));  // a member's word is heard all the while
+  send(ours.seal(from("boris", alva.driver->now())));  // a member's word is heard all the while
   CHECK(alva.until([&] { return alva.received() == 1; }));
   CHECK(alva.driver->node().view().members().contains("boris"));
   ::close(udp);
--- a/tests/fleet/view/message_test.cpp
+++ b/tests/fleet/view/message_test.cpp
@@ -129,10 +129,10 @@
   auto all = fleet(net, 5, 0);
   net.run(5 * kSecond);
   const std::uint64_t digest = net[0].view->digest(), generation = net[0].view->generation();
-  Seal seal("tartu", {std::string(32, 'k')});
+  EnvelopeSealer sealer("tartu", {std::string(32, 'k')});
   std::mt19937_64 random(24);
   Said said = sample();
-  const std::string body = encode(said), sealed = seal.close({1, "boris", 1, 0, Component::view, body});
+  const std::string body = encode(said), sealed = sealer.seal({1, "boris", 1, 0, Component::view, body});
   std::size_t opened = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string bad = sealed;
@@ -150,8 +150,8 @@
         bad.resize(round % 1000 == 3 ? 65536 : random() % 1500);
         for (char& c : bad) c = static_cast<char>(random());
     }
-    Dropped why{};
-    auto envelope = seal.open(bad, why, round % 2 ? Transport::datagram : Transport::stream);
+    DropReason why{};
+    auto envelope = sealer.open(bad, why, round % 2 ? Transport::datagram : Transport::stream);
     if (envelope) ++opened, net.hand(0, envelope->sender, envelope->body, Transport::datagram);
   }
   CHECK(opened == 0);
--- a/tests/fleet/wire/wire_test.cpp
+++ b/tests/fleet/wire/wire_test.cpp
@@ -27,10 +27,10 @@
   return e;
 }
 
-std::optional<Dropped> refusal(const Seal& seal, std::string_view octets,
-                               Transport transport = Transport::stream) {
-  Dropped why{};
-  if (seal.open(octets, why, transport)) return std::nullopt;
+std::optional<DropReason> refusal(const EnvelopeSealer& sealer, std::string_view octets,
+                                  Transport transport = Transport::stream) {
+  DropReason why{};
+  if (sealer.open(octets, why, transport)) return std::nullopt;
   return why;
 }
 
@@ -47,7 +47,7 @@
   ~KeyFile() { unlink(path.c_str()); }
   std::string refused() const {
     try {
-      keys_in(path);
+      read_key_file(path);
     } catch (const marblehub::config::DecodeError& e) {
       std::string what = e.what();
       return what.substr(0, path.size()) == path ? what.substr(path.size()) : "no path: " + what;
@@ -59,95 +59,98 @@
 }  // namespace
 
 TEST_CASE("an envelope comes out as it went in") {
-  Seal seal("tartu", {kNew});
+  EnvelopeSealer sealer("tartu", {kNew});
   for (std::size_t size : {0, 1, 1200, 1 << 20}) {
     Envelope in = sample(std::string(size, '\x81'));
-    Dropped why{};
-    auto out = seal.open(seal.close(in), why);
+    DropReason why{};
+    auto out = sealer.open(sealer.seal(in), why);
     REQUIRE(out);
     CHECK(out->sender == in.sender);
     CHECK(out->incarnation == 7);
     CHECK(out->sent_at == in.sent_at);
     CHECK(out->component == Component::record);
     CHECK(out->body == in.body);
-    if (size == 1200) CHECK_FALSE(refusal(seal, seal.close(in), Transport::datagram));
+    if (size == 1200) CHECK_FALSE(refusal(sealer, sealer.seal(in), Transport::datagram));
   }
 }
 
 TEST_CASE("a key is changed while the fleet runs") {
-  Seal before("tartu", {kOld}), during("tartu", {kNew, kOld}), after("tartu", {kNew});
-  CHECK_FALSE(refusal(during, before.close(sample())));
-  CHECK_FALSE(refusal(after, during.close(sample())));
-  CHECK(refusal(before, after.close(sample())) == Dropped::forged);
-  CHECK(refusal(after, before.close(sample())) == Dropped::forged);
+  EnvelopeSealer before("tartu", {kOld}), during("tartu", {kNew, kOld}), after("tartu", {kNew});
+  CHECK_FALSE(refusal(during, before.seal(sample())));
+  CHECK_FALSE(refusal(after, during.seal(sample())));
+  CHECK(refusal(before, after.seal(sample())) == DropReason::forged);
+  CHECK(refusal(after, before.seal(sample())) == DropReason::forged);
 }
 
 TEST_CASE("each refusal says which") {
-  Seal seal("tartu", {kNew}), other("narva", {kNew});
-  CHECK(refusal(seal, other.close(sample())) == Dropped::other_fleet);
-  CHECK(refusal(seal, "") == Dropped::cut);
-  CHECK(refusal(seal, std::string(35, 'x')) == Dropped::cut);
-  CHECK(refusal(seal, seal.close(sample(std::string(1400, 'x'))), Transport::datagram) == Dropped::too_long);
-  CHECK(refusal(seal, seal.close(sample(std::string(kLongestStream, 'x')))) == Dropped::too_long);
+  EnvelopeSealer sealer("tartu", {kNew}), other("narva", {kNew});
+  CHECK(refusal(sealer, other.seal(sample())) == DropReason::other_fleet);
+  CHECK(refusal(sealer, "") == DropReason::malformed);
+  CHECK(refusal(sealer, std::string(35, 'x')) == DropReason::malformed);
+  CHECK(refusal(sealer, sealer.seal(sample(std::string(1400, 'x'))), Transport::datagram) ==
+        DropReason::too_long);
+  CHECK(refusal(sealer, sealer.seal(sample(std::string(kMaxStreamMessageBytes, 'x')))) ==
+        DropReason::too_long);
   Envelope newer = sample();
-  newer.schema = kSchemaNewest + 1;
-  CHECK(refusal(seal, seal.close(newer)) == Dropped::schema);
+  newer.schema = kNewestSchema + 1;
+  CHECK(refusal(sealer, sealer.seal(newer)) == DropReason::schema);
   Envelope elsewhere = sample();
   elsewhere.component = static_cast<Component>(99);
-  CHECK(refusal(seal, seal.close(elsewhere)) == Dropped::schema);
+  CHECK(refusal(sealer, sealer.seal(elsewhere)) == DropReason::schema);
   Envelope nobody = sample();
   nobody.sender.clear();
-  CHECK(refusal(seal, seal.close(nobody)) == Dropped::cut);
+  CHECK(refusal(sealer, sealer.seal(nobody)) == DropReason::malformed);
 }
 
 TEST_CASE("no change of an octet, no cut and no addition opens") {
-  Seal seal("tartu", {kNew, kOld});
-  std::string good = seal.close(sample());
+  EnvelopeSealer sealer("tartu", {kNew, kOld});
+  std::string good = sealer.seal(sample());
   for (std::size_t i = 0; i < good.size(); ++i)
     for (int bit = 0; bit < 8; ++bit) {
       std::string bad = good;
       bad[i] = static_cast<char>(bad[i] ^ (1 << bit));
-      REQUIRE(refusal(seal, bad));
+      REQUIRE(refusal(sealer, bad));
     }
-  for (std::size_t i = 0; i < good.size(); ++i) REQUIRE(refusal(seal, good.substr(0, i)) == Dropped::cut);
-  CHECK(refusal(seal, good + "x") == Dropped::cut);
+  for (std::size_t i = 0; i < good.size(); ++i)
+    REQUIRE(refusal(sealer, good.substr(0, i)) == DropReason::malformed);
+  CHECK(refusal(sealer, good + "x") == DropReason::malformed);
   std::mt19937_64 random(24);
   for (int round = 0; round < 2000; ++round) {
     std::string noise(random() % (round % 100 ? 2000 : 65536), '\0');
     for (char& c : noise) c = static_cast<char>(random());
-    REQUIRE(refusal(seal, noise));
+    REQUIRE(refusal(sealer, noise));
   }
 }
 
 TEST_CASE("what was said long ago, or by a process that is no more, is stale") {
-  Freshness freshness(10 * kSecond);
+  ReplayFilter filter(10 * kSecond);
   Envelope e = sample();
   Time now = e.sent_at;
-  CHECK(freshness.fresh(now, e));
-  CHECK(freshness.fresh(now + 9 * kSecond, e));
-  CHECK_FALSE(freshness.fresh(now + 11 * kSecond, e));
-  CHECK_FALSE(freshness.fresh(now - 11 * kSecond, e));
+  CHECK(filter.accept(now, e));
+  CHECK(filter.accept(now + 9 * kSecond, e));
+  CHECK_FALSE(filter.accept(now + 11 * kSecond, e));
+  CHECK_FALSE(filter.accept(now - 11 * kSecond, e));
   e.incarnation = 8;  // a new process: the old one is heard a little longer, to settle twins
   e.sent_at = now + 20 * kSecond;
-  CHECK(freshness.fresh(e.sent_at, e));
+  CHECK(filter.accept(e.sent_at, e));
   Envelope old = e;
   old.incarnation = 7;
-  CHECK(freshness.fresh(e.sent_at + 5 * kSecond, old));
+  CHECK(filter.accept(e.sent_at + 5 * kSecond, old));
   old.sent_at = e.sent_at + 11 * kSecond;
-  CHECK_FALSE(freshness.fresh(old.sent_at, old));
+  CHECK_FALSE(filter.accept(old.sent_at, old));
   old.sent_at = std::numeric_limits<Time>::min();
-  CHECK_FALSE(freshness.fresh(now, old));
+  CHECK_FALSE(filter.accept(now, old));
 }
 
 TEST_CASE("the key file") {
   const std::string good(64, 'a'), second(66, 'B');
   KeyFile two(good + "\n\n" + second + "\r\n");
-  auto keys = keys_in(two.path);
+  auto keys = read_key_file(two.path);
   REQUIRE(keys.size() == 2);
   CHECK(keys[0] == std::string(32, '\xaa'));
   CHECK(keys[1] == std::string(33, '\xbb'));
   KeyFile one(good, 0400);
-  CHECK(keys_in(one.path).size() == 1);
+  CHECK(read_key_file(one.path).size() == 1);
   CHECK(KeyFile(good, 0640).refused().find("others than its owner") != std::string::npos);
   CHECK(KeyFile(good, 0604).refused().find("others than its owner") != std::string::npos);
   CHECK(KeyFile("").refused().find("it is empty") != std::string::npos);
@@ -159,6 +162,6 @@
             .refused()
             .find(":3: key: expected at most") == 0);
   CHECK(KeyFile(std::string(9000, 'a')).refused().find("longer than") != std::string::npos);
-  CHECK_THROWS_AS(keys_in("/nowhere/key"), marblehub::config::DecodeError);
-  CHECK_THROWS_AS(keys_in("/tmp"), marblehub::config::DecodeError);
+  CHECK_THROWS_AS(read_key_file("/nowhere/key"), marblehub::config::DecodeError);
+  CHECK_THROWS_AS(read_key_file("/tmp"), marblehub::config::DecodeError);
 }
