--- a/bench/fleet_view.cpp
+++ b/bench/fleet_view.cpp
@@ -58,16 +58,16 @@
     if (view.generation() == generation[i]) return;
     generation[i] = view.generation();
     for (std::size_t j = 0; j < count; ++j) {
-      Standing s = view.members().at(net[j].name).standing;
+      MemberStatus s = view.members().at(net[j].name).status;
       if (dead[j]) {
-        if (j == victim && s == Standing::gone && !knows[i]) {
+        if (j == victim && s == MemberStatus::dead && !knows[i]) {
           if (know++ == 0) first = net.now();
           knows[i] = true;
         }
         continue;
       }
-      if (s == Standing::gone && !wronged[j]) ++f.wronged, wronged[j] = true;
-      if (s == Standing::suspect && !suspect[j]) ++f.suspected, suspect[j] = true;
+      if (s == MemberStatus::dead && !wronged[j]) ++f.wronged, wronged[j] = true;
+      if (s == MemberStatus::suspect && !suspect[j]) ++f.suspected, suspect[j] = true;
     }
   };
   auto watch = [&](Time span) {  // a wrong is counted once in ten seconds
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -39,15 +39,15 @@
   return "stale";
 }
 
-const char* word_of(Standing standing) {
-  switch (standing) {
-    case Standing::alive:
+const char* word_of(MemberStatus status) {
+  switch (status) {
+    case MemberStatus::alive:
       return "alive";
-    case Standing::suspect:
+    case MemberStatus::suspect:
       return "suspected";
-    case Standing::gone:
+    case MemberStatus::dead:
       return "gone";
-    case Standing::left:
+    case MemberStatus::left:
       break;
   }
   return "no more there, it has left";
@@ -205,10 +205,10 @@
 
 void Driver::after() {
   if (node_->view().generation() != generation_) follow_view();
-  settled_.set(node_->view().settled(now()));
-  health_.set(node_->view().health());
+  settled_.set(node_->view().converged(now()));
+  health_.set(node_->view().local_health());
   applied_.set(static_cast<double>(node_->record().ledger().applied));
-  if (auto twin = node_->view().twin(); twin && !refused_) {
+  if (auto twin = node_->view().name_conflict(); twin && !refused_) {
     refused_ = true;
     log::error("fleet: another process is {} already, {}: this one must stop", settings_.name, *twin);
     if (on_refused_) on_refused_(*twin);
@@ -217,7 +217,8 @@
     clock_looked_at_ = at;
     std::vector<std::string> alive;
     for (const auto& [name, member] : node_->view().members())
-      if (member.standing == Standing::alive || member.standing == Standing::suspect) alive.push_back(name);
+      if (member.status == MemberStatus::alive || member.status == MemberStatus::suspect)
+        alive.push_back(name);
     bool off = gate_.clock_off(at, alive);
     if (off != clock_off_)
       log::warning("fleet: the clock is {} the bound of most members' clocks", off ? "beyond" : "within");
@@ -236,16 +237,16 @@
   generation_ = view.generation();
   generations_.set(static_cast<double>(generation_));
   digest_.set(static_cast<double>(view.digest() & 0xffffffffU));
-  alive_.set(static_cast<double>(view.alive()));
+  alive_.set(static_cast<double>(view.live_count()));
   for (const auto& [name, member] : view.members()) {
     heard_from_.erase(name);
-    auto [it, fresh] = standing_.emplace(name, member.standing);
-    if (!fresh && it->second == member.standing) continue;
-    it->second = member.standing;
-    given_up_.add(member.standing == Standing::gone && name != settings_.name);
-    log::info("fleet: {} is {}, incarnation {}", name, word_of(member.standing), member.incarnation);
+    auto [it, fresh] = statuses_.emplace(name, member.status);
+    if (!fresh && it->second == member.status) continue;
+    it->second = member.status;
+    given_up_.add(member.status == MemberStatus::dead && name != settings_.name);
+    log::info("fleet: {} is {}, incarnation {}", name, word_of(member.status), member.incarnation);
   }
-  std::erase_if(standing_, [&](const auto& known) { return !view.members().count(known.first); });
+  std::erase_if(statuses_, [&](const auto& known) { return !view.members().count(known.first); });
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -58,7 +58,7 @@
   net::TimerWatch due_;
   std::unique_ptr<Peers> peers_;
   std::map<std::string, sockaddr_in> heard_from_;  // of those the view has no address of yet
-  std::map<std::string, Standing> standing_;       // as it was told in the log
+  std::map<std::string, MemberStatus> statuses_;   // as it was told in the log
   std::uint64_t generation_ = 0;
   Time due_at_ = 0, clock_looked_at_ = 0;
   bool clock_off_ = false, refused_ = false, leaving_ = false;
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -56,7 +56,8 @@
     generation_ = generation;
     alive_.clear();
     for (const auto& [name, member] : view_->members())
-      if (member.standing == Standing::alive || member.standing == Standing::suspect) alive_.push_back(name);
+      if (member.status == MemberStatus::alive || member.status == MemberStatus::suspect)
+        alive_.push_back(name);
     record_->members(now, alive_, out);
   }
   // A leader of one applies what it proposes at once, and the next part is to see it in the same turn.
--- a/src/fleet/view/exchange.cpp
+++ b/src/fleet/view/exchange.cpp
@@ -22,7 +22,7 @@
     std::vector<std::string> unknown;
     for (const std::string& seed : settings.seeds)
       if (seed != address && std::none_of(members.begin(), members.end(), [&](const auto& one) {
-            return is_present(one.second.standing) && one.second.address == seed;
+            return is_live(one.second.status) && one.second.address == seed;
           }))
         unknown.push_back(seed);
     if (!alone && unknown.size() > 1) unknown = {unknown[one_of(unknown.size())]};
@@ -36,7 +36,7 @@
   if (now >= next_retry) {  // one that is gone: behind a partition that has healed it hears that, and refutes
     next_retry = now + 2 * settings.probe;
     std::vector<std::string> met;
-    if (gone) met = some(1, is_gone, {});
+    if (gone) met = some(1, is_dead, {});
     // And a suspect of long: where the accusation was told behind a partition, nobody else may tell it to its
     // face.
     for (const auto& [one, suspicion] : suspicions)
@@ -50,13 +50,13 @@
     }
   }
   if (now >= next_exchange) {
-    next_exchange = now + kExchange;
-    for (const std::string& one : some(1, is_present, {})) ask(now, one, out);
+    next_exchange = now + kPushPullInterval;
+    for (const std::string& one : some(1, is_live, {})) ask(now, one, out);
     for (auto it = members.begin(); it != members.end();) {
       const Member& member = it->second;
-      const bool old = !is_present(member.standing) && now - member.since > kForget && &member != own;
+      const bool old = !is_live(member.status) && now - member.since > kDeadMemberRetention && &member != own;
       if (old) {
-        gone -= is_gone(member.standing);
+        gone -= is_dead(member.status);
         gossip.forget(member.name);
       }
       it = old ? members.erase(it) : std::next(it);
--- a/src/fleet/view/message.cpp
+++ b/src/fleet/view/message.cpp
@@ -15,16 +15,16 @@
   return text && text->size() > 0 && text->size() <= most;
 }
 
-bool standing_known(std::uint8_t standing) { return standing <= static_cast<std::uint8_t>(Standing::left); }
+bool status_known(std::uint8_t status) { return status <= static_cast<std::uint8_t>(MemberStatus::left); }
 
 bool read(const wire::News& from, News& to) {
   if (!text_fits(from.name(), kLongestMemberName) || !text_fits(from.address(), kLongestAddress))
     return false;
-  if (!standing_known(from.standing()) || from.incarnation() > kMostIncarnation) return false;
+  if (!status_known(from.status()) || from.incarnation() > kMostIncarnation) return false;
   to.name = from.name()->str();
   to.address = from.address()->str();
   to.incarnation = from.incarnation();
-  to.standing = static_cast<Standing>(from.standing());
+  to.status = static_cast<MemberStatus>(from.status());
   to.schema = from.schema();
   to.age = Time{from.age_ms()} * kMillisecond;
   if (from.accusers())
@@ -60,7 +60,7 @@
     auto name = builder.CreateString(one.name), address = builder.CreateString(one.address);
     Time age = std::clamp<Time>(one.age / kMillisecond, 0, 0xffffffff);
     news.push_back(wire::CreateNews(builder, name, address, one.incarnation,
-                                    static_cast<std::uint8_t>(one.standing), one.schema, accusers,
+                                    static_cast<std::uint8_t>(one.status), one.schema, accusers,
                                     static_cast<std::uint32_t>(age)));
   }
   auto all = builder.CreateVector(news);
@@ -70,7 +70,7 @@
   if (!said.target_address.empty()) target_address = builder.CreateString(said.target_address);
   builder.Finish(wire::CreateSaid(
       builder, static_cast<std::uint8_t>(said.kind), said.sequence, said.born, said.incarnation, address,
-      said.schema, static_cast<std::uint8_t>(said.standing), target, target_address, said.digest, all));
+      said.schema, static_cast<std::uint8_t>(said.status), target, target_address, said.digest, all));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
@@ -82,7 +82,7 @@
   if (!wire::VerifySaidBuffer(verifier)) return std::nullopt;
   const wire::Said& from = *wire::GetSaid(data);
   if (from.kind() < static_cast<std::uint8_t>(Kind::ping) ||
-      from.kind() > static_cast<std::uint8_t>(Kind::news) || !standing_known(from.standing()) ||
+      from.kind() > static_cast<std::uint8_t>(Kind::news) || !status_known(from.status()) ||
       from.incarnation() > kMostIncarnation || from.born() > kMostIncarnation ||
       !text_fits(from.address(), kLongestAddress))
     return std::nullopt;
@@ -93,7 +93,7 @@
   to.incarnation = from.incarnation();
   to.address = from.address()->str();
   to.schema = from.schema();
-  to.standing = static_cast<Standing>(from.standing());
+  to.status = static_cast<MemberStatus>(from.status());
   to.digest = from.digest();
   if (from.target()) {
     if (from.target()->size() > kLongestMemberName) return std::nullopt;
--- a/src/fleet/view/message.h
+++ b/src/fleet/view/message.h
@@ -19,7 +19,7 @@
 struct News {
   std::string name, address;
   std::uint64_t incarnation = 0;
-  Standing standing = Standing::alive;
+  MemberStatus status = MemberStatus::alive;
   std::uint8_t schema = 1;
   std::vector<std::string> accusers;  // of a suspect: who missed its answer, each by its own probe
   Time age = 0;                       // of its standing, in a whole exchange; milliseconds on the wire
@@ -43,7 +43,7 @@
   std::uint64_t incarnation = 0;  // of the sender, as `address`, `schema` and `standing`
   std::string address;
   std::uint8_t schema = 1;
-  Standing standing = Standing::alive;
+  MemberStatus status = MemberStatus::alive;
   std::string target, target_address;  // whom it is meant for or about; empty: whoever is there
   std::uint64_t digest = 0;            // of the sender's view where it is settled; 0: it is not
   std::vector<News> news;
--- a/src/fleet/view/news.cpp
+++ b/src/fleet/view/news.cpp
@@ -18,10 +18,10 @@
 // A member's share of the digest: nothing of one that is not there, so that it does not matter when each
 // balancer forgets.
 std::uint64_t share(const Member& member) {
-  if (!is_present(member.standing)) return 0;
+  if (!is_live(member.status)) return 0;
   std::uint64_t hash = 0xcbf29ce484222325u;  // FNV-1a, then mixed
   for (unsigned char c : member.name) hash = (hash ^ c) * 0x100000001b3u;
-  return mixed(mixed(hash ^ mixed(member.incarnation)) + static_cast<std::uint64_t>(member.standing) + 1);
+  return mixed(mixed(hash ^ mixed(member.incarnation)) + static_cast<std::uint64_t>(member.status) + 1);
 }
 
 // An accusation must reach its suspect and the answer all others: two spreads. Fresh news go to 3 others each
@@ -38,13 +38,13 @@
 using view::News;
 
 News View::State::news_of(const Member& member) const {
-  News news{member.name, member.address, member.incarnation, member.standing, member.schema, {}, 0};
+  News news{member.name, member.address, member.incarnation, member.status, member.schema, {}, 0};
   auto it = suspicions.find(member.name);
   if (it != suspicions.end()) news.accusers = it->second.accusers;
   return news;
 }
 
-void View::State::doubt(int by) { health = std::clamp(health + by, 0, kWorstHealth); }
+void View::State::doubt(int by) { local_health = std::clamp(local_health + by, 0, kMaxLocalHealth); }
 
 bool View::State::hear(Time now, const News& news, Source source, Outbox& out) {
   if (news.name == name) {
@@ -53,36 +53,37 @@
   }
   auto it = members.find(news.name);
   if (it == members.end()) {
-    if (members.size() >= kMostMembers) return false;
-    if (!is_present(news.standing)) {
+    if (members.size() >= kMaxMembers) return false;
+    if (!is_live(news.status)) {
       // Nothing is lost with one that was never here; but a joiner counts and tries those lost before it
       // came.
-      if (source == Source::gossip || news.standing == Standing::left || news.age >= kForget) return false;
-      members[news.name] = {news.name,     news.address, news.incarnation,
-                            news.standing, news.schema,  now - news.age};
+      if (source == Source::gossip || news.status == MemberStatus::left || news.age >= kDeadMemberRetention)
+        return false;
+      members[news.name] = {news.name,   news.address, news.incarnation,
+                            news.status, news.schema,  now - news.age};
       ++gone;
       return true;
     }
     Member& member = members[news.name];
     member.name = news.name;
-    member.standing = Standing::left;  // until taken over
+    member.status = MemberStatus::left;  // until taken over
     take_over(now, member, news);
     return true;
   }
   Member& member = it->second;
   // One name, one address while it is there: a later process of that name elsewhere has to wait until the
   // earlier is given up, and words about it are not about this one.
-  if (is_present(member.standing) && news.address != member.address) return false;
+  if (is_live(member.status) && news.address != member.address) return false;
   if (news.incarnation < member.incarnation) return false;
   if (news.incarnation == member.incarnation) {
-    if (news.standing == Standing::suspect && member.standing == Standing::suspect)
+    if (news.status == MemberStatus::suspect && member.status == MemberStatus::suspect)
       return confirm(now, member, news.accusers);
-    if (news.standing <= member.standing) return false;
+    if (news.status <= member.status) return false;
   }
   // An exchange says what another gave up, perhaps long ago and behind a partition, of one that answers here.
   // It is put to that member itself, which then refutes; were it gone, this balancer's own probes would find
   // out.
-  if (source == Source::exchange && news.standing == Standing::gone && is_present(member.standing)) {
+  if (source == Source::exchange && news.status == MemberStatus::dead && is_live(member.status)) {
     view::Said said;
     said.kind = view::Kind::ping;
     said.sequence = chance();
@@ -98,13 +99,13 @@
 
 void View::State::hear_of_self(Time now, const News& news, Outbox& out) {
   if (stopped()) return;
-  if (news.address != address && is_present(news.standing)) probe_twin(now, news.address, out);
+  if (news.address != address && is_live(news.status)) probe_twin(now, news.address, out);
   Member& me = self();
   if (news.incarnation < me.incarnation ||
-      (news.incarnation == me.incarnation && news.standing == Standing::alive))
+      (news.incarnation == me.incarnation && news.status == MemberStatus::alive))
     return;
   // An accusation, or a word of an earlier process whose clock was ahead: overruled by a higher incarnation.
-  if (news.standing == Standing::suspect) doubt(1);
+  if (news.status == MemberStatus::suspect) doubt(1);
   digest ^= share(me);
   me.incarnation = news.incarnation + 1;
   me.since = now;
@@ -116,17 +117,17 @@
 }
 
 void View::State::take_over(Time now, Member& member, const News& news) {
-  const bool was = is_present(member.standing), is = is_present(news.standing);
+  const bool was = is_live(member.status), is = is_live(news.status);
   MARBLEHUB_INVARIANT("view", news.incarnation >= member.incarnation,
                       "an incarnation goes back: " + member.name);
   digest ^= share(member);
-  if (is_gone(member.standing)) --gone;
-  if (is_gone(news.standing)) ++gone;
+  if (is_dead(member.status)) --gone;
+  if (is_dead(news.status)) ++gone;
   present = present + is - was;
-  if (member.standing != news.standing || member.incarnation != news.incarnation) member.since = now;
+  if (member.status != news.status || member.incarnation != news.incarnation) member.since = now;
   member.address = news.address;
   member.incarnation = news.incarnation;
-  member.standing = news.standing;
+  member.status = news.status;
   member.schema = news.schema;
   digest ^= share(member);
   changed = now;
@@ -136,7 +137,7 @@
   suspicions.erase(member.name);
   if (is && !was)
     order.insert(order.begin() + static_cast<std::ptrdiff_t>(one_of(order.size() + 1)), member.name);
-  if (news.standing == Standing::suspect) {
+  if (news.status == MemberStatus::suspect) {
     // Lifeguard, section IV.B: from `most` down to `least` as up to K others accuse too.
     Suspicion& suspicion = suspicions[member.name];
     suspicion.begun = now;
@@ -182,7 +183,7 @@
     if (deadline(suspect) <= now) overdue.push_back(suspect);
   for (const std::string& suspect : overdue) {
     News news = news_of(members.at(suspect));
-    news.standing = Standing::gone;
+    news.status = MemberStatus::dead;
     news.accusers.clear();
     hear(now, news, Source::gossip, out);
   }
--- a/src/fleet/view/probes.cpp
+++ b/src/fleet/view/probes.cpp
@@ -21,7 +21,7 @@
   std::size_t used = octets_of_head(said);
   auto it = members.find(to);
   const bool known = it != members.end() && it->second.address == at;
-  if (it != members.end() && (it->second.standing != Standing::alive || !known)) {
+  if (it != members.end() && (it->second.status != MemberStatus::alive || !known)) {
     said.news.push_back(news_of(it->second));
     used += octets_of(said.news.back());
   }
@@ -35,7 +35,7 @@
 std::string View::State::next_target() {
   auto there = [&](const std::string& one) {
     auto it = members.find(one);
-    return one != name && it != members.end() && is_present(it->second.standing);
+    return one != name && it != members.end() && is_live(it->second.status);
   };
   auto accused = [&](const std::string& one) {  // by this one, or by as many as count
     const auto it = suspicions.find(one);
@@ -62,7 +62,7 @@
 
 void View::State::begin_probe(Time now, Outbox& out) {
   // Lifeguard's local health: who doubts itself waits longer for others, and asks less often.
-  const Time period = settings.probe * (1 + health), ack = settings.ack * (1 + health);
+  const Time period = settings.probe * (1 + local_health), ack = settings.ack * (1 + local_health);
   next_probe = now + period;
   std::string target = next_target();
   if (target.empty()) {
@@ -110,12 +110,12 @@
 
 bool View::State::missed_by_others(const std::string& one) const {
   const auto it = suspicions.find(one);
-  if (it == suspicions.end()) return !is_present(members.at(one).standing);
+  if (it == suspicions.end()) return !is_live(members.at(one).status);
   return std::ranges::any_of(it->second.accusers, [&](const std::string& who) { return who != name; });
 }
 
 void View::State::step_probe(Time now, Outbox& out) {
-  if (probe && !is_present(members.at(probe->target).standing)) probe.reset();
+  if (probe && !is_live(members.at(probe->target).status)) probe.reset();
   if (probe && now >= probe->end) {
     const Member& target = members.at(probe->target);
     // Helpers that sent not even a nack hint that it is this one's own messages that are lost or late. Not
@@ -128,7 +128,7 @@
     }
     if (probe->helpers.empty() || silent != 0) doubt(1);
     view::News news = news_of(target);
-    news.standing = Standing::suspect;
+    news.status = MemberStatus::suspect;
     news.accusers = {name};
     probe.reset();
     hear(now, news, Source::gossip, out);
@@ -192,7 +192,7 @@
 void View::State::step_gossip(Time now, Outbox& out) {
   if (now < next_gossip || present == 1 || !gossip.fresh()) return;
   next_gossip = now + settings.probe * 2 / 5;
-  for (const std::string& one : some(kGossipTo, is_present, {})) {
+  for (const std::string& one : some(kGossipTo, is_live, {})) {
     Said said;
     said.kind = Kind::news;
     said.target = one;
--- a/src/fleet/view/state.h
+++ b/src/fleet/view/state.h
@@ -56,7 +56,7 @@
   // -- view.cpp
   void wake(Time now);  // before anything else: did this process sleep?
   Time due() const;
-  bool settled(Time now) const;
+  bool converged(Time now) const;
   void check() const;
   void fill_head(view::Said& said) const;
   std::uint64_t chance() {  // splitmix64 (Steele, Lea, Flood 2014)
@@ -66,7 +66,7 @@
     return z ^ (z >> 31);
   }
   std::size_t one_of(std::size_t n) { return static_cast<std::size_t>(chance() % n); }
-  std::vector<std::string> some(std::size_t count, bool (*fits)(Standing), const std::string& except);
+  std::vector<std::string> some(std::size_t count, bool (*fits)(MemberStatus), const std::string& except);
   Member& self() { return *own; }
   const Member& self() const { return *own; }
   bool stopped() const { return left || twin.has_value(); }
@@ -89,7 +89,7 @@
   };
   std::map<std::string, Suspicion> suspicions;
   view::Gossip gossip;
-  int health = 0;
+  int local_health = 0;
   int agreed = 0;  // settled messages with this digest since the last change, one after the other
 
   struct Probe {
@@ -122,11 +122,11 @@
   bool left = false;
 };
 
-inline bool is_present(Standing standing) {
-  return standing == Standing::alive || standing == Standing::suspect;
+inline bool is_live(MemberStatus status) {
+  return status == MemberStatus::alive || status == MemberStatus::suspect;
 }
-inline bool is_alive(Standing standing) { return standing == Standing::alive; }
-inline bool is_suspect(Standing standing) { return standing == Standing::suspect; }
-inline bool is_gone(Standing standing) { return standing == Standing::gone; }
+inline bool is_alive(MemberStatus status) { return status == MemberStatus::alive; }
+inline bool is_suspect(MemberStatus status) { return status == MemberStatus::suspect; }
+inline bool is_dead(MemberStatus status) { return status == MemberStatus::dead; }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/view/view.cpp
+++ b/src/fleet/view/view.cpp
@@ -27,14 +27,14 @@
       random(seed),
       changed(now) {
   own = &members[name];
-  self() = {name, address, born, Standing::left, 1, now};
-  take_over(now, self(), {name, address, born, Standing::alive, 1, {}, 0});
+  self() = {name, address, born, MemberStatus::left, 1, now};
+  take_over(now, self(), {name, address, born, MemberStatus::alive, 1, {}, 0});
   order.clear();
   auto within = [&](Time span) {
     return now + static_cast<Time>(chance() % static_cast<std::uint64_t>(span));
   };
   next_probe = within(settings.probe);
-  next_exchange = within(kExchange);
+  next_exchange = within(kPushPullInterval);
   next_retry = within(2 * settings.probe);
   next_seed = next_gossip = next_due = last_now = now;
   last_ask = now - kAskPace;
@@ -45,19 +45,19 @@
   said.born = born;
   said.incarnation = self().incarnation;
   said.address = address;
-  said.standing = self().standing;
-  said.digest = settled(last_now) ? digest : 0;
+  said.status = self().status;
+  said.digest = converged(last_now) ? digest : 0;
 }
 
-bool View::State::settled(Time now) const {
+bool View::State::converged(Time now) const {
   return suspicions.empty() && now - changed >= 3 * settings.probe;
 }
 
-std::vector<std::string> View::State::some(std::size_t count, bool (*fits)(Standing),
+std::vector<std::string> View::State::some(std::size_t count, bool (*fits)(MemberStatus),
                                            const std::string& except) {
   std::vector<const std::string*> all;
   for (const auto& [one, member] : members)
-    if (one != name && one != except && fits(member.standing)) all.push_back(&one);
+    if (one != name && one != except && fits(member.status)) all.push_back(&one);
   std::vector<std::string> chosen;
   while (chosen.size() < count && !all.empty()) {
     std::size_t i = one_of(all.size());
@@ -95,18 +95,20 @@
 }
 
 void View::State::check() const {
-  MARBLEHUB_INVARIANT("view", self().standing == (left ? Standing::left : Standing::alive),
+  MARBLEHUB_INVARIANT("view", self().status == (left ? MemberStatus::left : MemberStatus::alive),
                       "holds itself gone");
-  MARBLEHUB_INVARIANT("view", members.size() <= kMostMembers + 1, "more members than its bound");
-  MARBLEHUB_INVARIANT("view", health >= 0 && health <= kWorstHealth, "health out of its bounds");
+  MARBLEHUB_INVARIANT("view", members.size() <= kMaxMembers + 1, "more members than its bound");
+  MARBLEHUB_INVARIANT("view", local_health >= 0 && local_health <= kMaxLocalHealth,
+                      "health out of its bounds");
   MARBLEHUB_DEBUG_INVARIANT("view", gossip.bounded(members.size()), "gossip over its bound");
 #ifdef MARBLEHUB_CHECKS
   std::size_t there = 0, away = 0, suspects = 0;
   for (const auto& [one, member] : members) {
-    there += is_present(member.standing);
-    away += is_gone(member.standing);
-    suspects += member.standing == Standing::suspect;
-    MARBLEHUB_DEBUG_INVARIANT("view", (member.standing == Standing::suspect) == (suspicions.count(one) == 1),
+    there += is_live(member.status);
+    away += is_dead(member.status);
+    suspects += member.status == MemberStatus::suspect;
+    MARBLEHUB_DEBUG_INVARIANT("view",
+                              (member.status == MemberStatus::suspect) == (suspicions.count(one) == 1),
                               "a suspect without a term: " + one);
   }
   MARBLEHUB_DEBUG_INVARIANT("view", there == present && away == gone && suspects == suspicions.size(),
@@ -134,9 +136,9 @@
     s.meet_twin(now, *said, out);
   } else {
     auto it = s.members.find(from);
-    const bool met = it == s.members.end() || !is_present(it->second.standing);
-    News sender{from, said->address, said->incarnation, said->standing, said->schema, {}, 0};
-    const bool there = s.hear(now, sender, State::Source::gossip, out) && is_present(said->standing);
+    const bool met = it == s.members.end() || !is_live(it->second.status);
+    News sender{from, said->address, said->incarnation, said->status, said->schema, {}, 0};
+    const bool there = s.hear(now, sender, State::Source::gossip, out) && is_live(said->status);
     std::size_t brought = 0;
     for (const News& news : said->news)
       brought += s.hear(now, news, exchange ? State::Source::exchange : State::Source::gossip, out);
@@ -161,10 +163,10 @@
     }
     // Met for the first time or again, or both think that all is known and differ: the whole view is
     // exchanged.
-    const bool differ = said->digest != 0 && s.settled(now) && said->digest != s.digest;
+    const bool differ = said->digest != 0 && s.converged(now) && said->digest != s.digest;
     // All seem to know all: what is still to be told would be told in vain. Whoever missed it differs, and
     // asks.
-    if (said->digest != 0 && s.settled(now)) s.agreed = differ ? 0 : s.agreed + 1;
+    if (said->digest != 0 && s.converged(now)) s.agreed = differ ? 0 : s.agreed + 1;
     if (s.agreed >= kAgreed) s.gossip.clear();
     if (known && !exchange && ((met && there) || differ) && now - s.last_ask >= kAskPace)
       s.ask(now, from, out);
@@ -191,8 +193,8 @@
   State& s = *state_;
   if (s.stopped()) return;
   s.last_now = std::max(s.last_now, now);
-  std::vector<std::string> told = s.some(kFarewells, is_present, {});
-  s.take_over(now, s.self(), {s.name, s.address, s.self().incarnation, Standing::left, 1, {}, 0});
+  std::vector<std::string> told = s.some(kFarewells, is_live, {});
+  s.take_over(now, s.self(), {s.name, s.address, s.self().incarnation, MemberStatus::left, 1, {}, 0});
   s.left = true;
   for (const std::string& one : told) {  // its head says it; each passes it on
     Said said;
@@ -207,19 +209,19 @@
 
 Time View::next_due() const { return state_->next_due; }
 const std::map<std::string, Member>& View::members() const { return state_->members; }
-std::size_t View::alive() const { return state_->present; }
+std::size_t View::live_count() const { return state_->present; }
 std::uint64_t View::digest() const { return state_->digest; }
 std::uint64_t View::generation() const { return state_->generation; }
-bool View::settled(Time now) const { return state_->settled(now); }
-int View::health() const { return state_->health; }
-std::optional<std::string> View::twin() const { return state_->twin; }
+bool View::converged(Time now) const { return state_->converged(now); }
+int View::local_health() const { return state_->local_health; }
+std::optional<std::string> View::name_conflict() const { return state_->twin; }
 
 double View::budget_members(Time now) const {
   const State& s = *state_;
   double members = static_cast<double>(s.present);
   if (s.gone == 0) return members;
   for (const auto& [name, member] : s.members)
-    if (is_gone(member.standing)) {
+    if (is_dead(member.status)) {
       double held = static_cast<double>(now - member.since) / static_cast<double>(kBudgetHold);
       members += std::clamp(2 - held, 0.0, 1.0);
     }
--- a/src/fleet/view/view.h
+++ b/src/fleet/view/view.h
@@ -13,19 +13,19 @@
 
 namespace marblehub::fleet {
 
-enum class Standing : std::uint8_t { alive, suspect, gone, left };
+enum class MemberStatus : std::uint8_t { alive, suspect, dead, left };
 
 // Bounds and pace. Documented in docs/fleet-view.md.
-constexpr std::size_t kMostMembers = 2048;   // further joiners are not taken in
-constexpr int kWorstHealth = 8;              // Lifeguard's S
-constexpr Time kExchange = 30 * kSecond;     // a whole exchange with one at random
-constexpr Time kForget = 3600 * kSecond;     // who has been gone for so long is not tried again
-constexpr Time kBudgetHold = 120 * kSecond;  // see View::budget_members
+constexpr std::size_t kMaxMembers = 2048;              // further joiners are not taken in
+constexpr int kMaxLocalHealth = 8;                     // Lifeguard's S
+constexpr Time kPushPullInterval = 30 * kSecond;       // a whole exchange with one at random
+constexpr Time kDeadMemberRetention = 3600 * kSecond;  // who has been gone for so long is not tried again
+constexpr Time kBudgetHold = 120 * kSecond;            // see View::budget_members
 
 struct Member {
   std::string name, address;      // of its UDP and TCP port
   std::uint64_t incarnation = 0;  // grows when it refutes an accusation or starts anew; never goes back
-  Standing standing = Standing::alive;
+  MemberStatus status = MemberStatus::alive;
   std::uint8_t schema = 1;
   Time since = 0;  // of its standing, by this balancer's clock
 };
@@ -43,14 +43,14 @@
 
   // What it has, this balancer included.
   const std::map<std::string, Member>& members() const;
-  std::size_t alive() const;         // alive or suspect
+  std::size_t live_count() const;    // alive or suspect
   std::uint64_t digest() const;      // over names, incarnations and standing: two settled views are equal
   std::uint64_t generation() const;  // grows with every change
-  bool settled(Time now) const;      // no suspect, and no change for three probe periods
-  int health() const;  // Lifeguard's local health multiplier, 0 the best: it doubts itself above
+  bool converged(Time now) const;    // no suspect, and no change for three probe periods
+  int local_health() const;  // Lifeguard's local health multiplier, 0 the best: it doubts itself above
   // The address of another process of this one's name, begun earlier, that answered: this one must stop. From
   // then on it sends nothing. The earlier one goes on.
-  std::optional<std::string> twin() const;
+  std::optional<std::string> name_conflict() const;
 
   // For the fleet's budgets in the module: the balancers alive, settled and smoothed. Who left by its own
   // word is off at once, who was given up counts in full for kBudgetHold and then fades within another, so
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -82,8 +82,8 @@
     said.target = kind == 3 ? "celia" : "alva";
     said.target_address = "10.0.0.3:7000";
     said.digest = 42;
-    said.news = {{"alva", "10.0.0.1:7000", 1, Standing::suspect, 1, {"boris"}, kSecond},
-                 {"celia", "10.0.0.3:7000", 3, Standing::gone, 1, {}, 0}};
+    said.news = {{"alva", "10.0.0.1:7000", 1, MemberStatus::suspect, 1, {"boris"}, kSecond},
+                 {"celia", "10.0.0.3:7000", 3, MemberStatus::dead, 1, {}, 0}};
     all.push_back(view::encode(said));
   }
   return all;
--- a/tests/fleet/random/world.h
+++ b/tests/fleet/random/world.h
@@ -269,7 +269,7 @@
       versions.insert(placing == Placing::fenced
                           ? ~std::uint64_t{0}
                           : one.node->routes()->route(clock(one), "ride", "", "7").version);
-      text += "\n" + name + ": alive " + std::to_string(one.node->view().alive()) + ", applied " +
+      text += "\n" + name + ": alive " + std::to_string(one.node->view().live_count()) + ", applied " +
               std::to_string(one.applied) + ", leader " + one.node->record().leader() + ", version " +
               std::to_string(one.node->routes()->route(clock(one), "ride", "", "7").version) + " " +
               one.node->routes()->why_fenced();
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/nodes.h
@@ -220,7 +220,7 @@
       else
         text += "placing " + std::to_string(static_cast<int>(one.placing)) + " by " +
                 std::to_string(one.version) + " " + one.node->routes()->why_fenced() + "; view " +
-                std::to_string(one.node->view().alive()) + ", term " +
+                std::to_string(one.node->view().live_count()) + ", term " +
                 std::to_string(one.node->record().term()) + ", applied " +
                 std::to_string(one.node->record().ledger().applied) + ", leader " +
                 one.node->record().leader();
--- a/tests/fleet/view/fleet_test.cpp
+++ b/tests/fleet/view/fleet_test.cpp
@@ -23,14 +23,14 @@
     net.stepped = [this, &net, live](std::size_t i) {
       for (std::size_t j : live)
         if (auto it = net[i].view->members().find(net[j].name);
-            it != net[i].view->members().end() && it->second.standing == Standing::gone)
+            it != net[i].view->members().end() && it->second.status == MemberStatus::dead)
           ++count;
     };
   }
 };
 
-Standing standing(Network& net, std::size_t of, std::size_t at) {
-  return net[at].view->members().at(net[of].name).standing;
+MemberStatus status(Network& net, std::size_t of, std::size_t at) {
+  return net[at].view->members().at(net[of].name).status;
 }
 
 }  // namespace
@@ -115,7 +115,7 @@
       Wronged wronged(net, without(all, 4));
       net.pause(4, span);
       net.run(span + 100 * kMillisecond);
-      CHECK(net[4].view->health() > 0);  // it doubts itself
+      CHECK(net[4].view->local_health() > 0);  // it doubts itself
       CHECK(net.time_until([&] { return net.equal(all); }, 20 * kSecond) <= 5 * kSecond);
       net.run(10 * kSecond);
       CHECK(wronged.count == 0);
@@ -175,7 +175,7 @@
       auto apart = [&] {
         for (std::size_t i : all)
           for (std::size_t j : all)
-            if (i / size != j / size && standing(net, j, i) != Standing::gone) return false;
+            if (i / size != j / size && status(net, j, i) != MemberStatus::dead) return false;
         return true;
       };
       Time bound = 0;
@@ -201,14 +201,14 @@
   net.run(60 * kSecond);
   auto budget = [&](std::size_t i) { return net[i].view->budget_members(net.now()); };
   for (std::size_t i : all) {
-    REQUIRE(net[i].view->alive() == 5);
-    CHECK(net[i].view->settled(net.now()));
+    REQUIRE(net[i].view->live_count() == 5);
+    CHECK(net[i].view->converged(net.now()));
     CHECK(budget(i) == 10);
   }
   std::size_t late = net.place("late");  // begins in one half: it counts those lost before it came
   net.start(late);
   net.run(2 * kSecond);
-  CHECK(net[late].view->alive() == 6);
+  CHECK(net[late].view->live_count() == 6);
   CHECK(budget(late) == 11);
   net.kill(late);
   net.run(kBudgetHold);  // the first are over their hold, and fade
@@ -243,8 +243,8 @@
     net.run(5 * kSecond);
     bool suspected = false;
     net.stepped = [&](std::size_t i) {
-      Standing s = standing(net, 3, i);
-      suspected |= s == Standing::suspect || s == Standing::gone;
+      MemberStatus s = status(net, 3, i);
+      suspected |= s == MemberStatus::suspect || s == MemberStatus::dead;
     };
     net.leave(3);
     net.stepped(3);
@@ -255,7 +255,7 @@
     CHECK(net[7].view->budget_members(net.now()) == 29);
     net.run(20 * kSecond);
     CHECK_FALSE(suspected);
-    CHECK(standing(net, 3, 0) == Standing::left);
+    CHECK(status(net, 3, 0) == MemberStatus::left);
   }
 }
 
@@ -268,11 +268,12 @@
       net.loss = loss;
       std::size_t twin = net.place(net[4].name);
       net.start(twin);
-      CHECK(net.time_until([&] { return net[twin].view->twin().has_value(); }, 20 * kSecond) <= 5 * kSecond);
-      CHECK(net[twin].view->twin() == net[4].address);
+      CHECK(net.time_until([&] { return net[twin].view->name_conflict().has_value(); }, 20 * kSecond) <=
+            5 * kSecond);
+      CHECK(net[twin].view->name_conflict() == net[4].address);
       net.loss = 0;
       net.run(5 * kSecond);
-      CHECK_FALSE(net[4].view->twin());
+      CHECK_FALSE(net[4].view->name_conflict());
       CHECK(net.equal(all));
       for (std::size_t i : all) CHECK(net[i].view->members().at(net[4].name).address == net[4].address);
     }
@@ -285,7 +286,7 @@
     std::size_t twin = net.place(net[3].name);
     net.start(twin);
     net.run(20 * kSecond);
-    CHECK(net[3].view->twin().has_value() != net[twin].view->twin().has_value());
+    CHECK(net[3].view->name_conflict().has_value() != net[twin].view->name_conflict().has_value());
     CHECK(net.equal(net.running()));
   }
 }
@@ -301,7 +302,7 @@
   all[4] = again;
   CHECK(net.time_until([&] { return net.equal(all); }, 30 * kSecond) <= 8 * kSecond);
   CHECK(net[0].view->members().at(net[again].name).address == net[again].address);
-  CHECK_FALSE(net[again].view->twin());
+  CHECK_FALSE(net[again].view->name_conflict());
 }
 
 TEST_CASE("a message of an old generation after a restart changes nothing") {
@@ -324,7 +325,7 @@
   net.run(5 * kSecond);
   CHECK(net.equal(all));
   CHECK(net[0].view->digest() == digest);
-  CHECK_FALSE(net[2].view->twin());
+  CHECK_FALSE(net[2].view->name_conflict());
 }
 
 TEST_CASE("digest and generation stand still in a settled fleet") {
@@ -335,6 +336,6 @@
   net.run(120 * kSecond);
   CHECK(net[0].view->digest() == digest);
   CHECK(net[0].view->generation() == generation);
-  CHECK(net[0].view->settled(net.now()));
-  CHECK(net[0].view->health() == 0);
+  CHECK(net[0].view->converged(net.now()));
+  CHECK(net[0].view->local_health() == 0);
 }
--- a/tests/fleet/view/message_test.cpp
+++ b/tests/fleet/view/message_test.cpp
@@ -25,8 +25,9 @@
   said.target = "alva";
   said.target_address = "10.0.0.2:7946";
   said.digest = 42;
-  said.news.push_back({"boris", "10.0.0.3:7946", 3, Standing::suspect, 1, {"alva", "celia"}, 5 * kSecond});
-  said.news.push_back({std::string(128, 'n'), std::string(64, 'a'), 1, Standing::left, 1, {}, 0});
+  said.news.push_back(
+      {"boris", "10.0.0.3:7946", 3, MemberStatus::suspect, 1, {"alva", "celia"}, 5 * kSecond});
+  said.news.push_back({std::string(128, 'n'), std::string(64, 'a'), 1, MemberStatus::left, 1, {}, 0});
   return said;
 }
 
@@ -45,7 +46,7 @@
   REQUIRE(out->news.size() == 2);
   CHECK(out->news[0].accusers == std::vector<std::string>{"alva", "celia"});
   CHECK(out->news[0].age == 5 * kSecond);
-  CHECK(out->news[1].standing == Standing::left);
+  CHECK(out->news[1].status == MemberStatus::left);
 }
 
 TEST_CASE("out of bounds is refused whole") {
@@ -59,11 +60,11 @@
   CHECK(refused([](Said& s) { s.incarnation = kMostIncarnation + 1; }));
   CHECK(refused([](Said& s) { s.address.clear(); }));
   CHECK(refused([](Said& s) { s.address = std::string(65, 'a'); }));
-  CHECK(refused([](Said& s) { s.standing = static_cast<Standing>(4); }));
+  CHECK(refused([](Said& s) { s.status = static_cast<MemberStatus>(4); }));
   CHECK(refused([](Said& s) { s.news[0].name.clear(); }));
   CHECK(refused([](Said& s) { s.news[0].name = std::string(129, 'n'); }));
   CHECK(refused([](Said& s) { s.news[0].incarnation = ~std::uint64_t{0}; }));
-  CHECK(refused([](Said& s) { s.news[0].standing = static_cast<Standing>(9); }));
+  CHECK(refused([](Said& s) { s.news[0].status = static_cast<MemberStatus>(9); }));
   CHECK_FALSE(refused([](Said&) {}));
 }
 
@@ -75,7 +76,7 @@
     News news{std::string(length, 'n'),
               std::string(std::min<std::size_t>(length, 64), 'a'),
               5,
-              Standing::suspect,
+              MemberStatus::suspect,
               2,
               {std::string(length, 'x'), std::string(length, 'y')},
               7 * kSecond};
@@ -111,7 +112,7 @@
   said = decode({reinterpret_cast<const char*>(older.GetBufferPointer()), older.GetSize()});
   REQUIRE(said);
   CHECK(said->schema == 1);
-  CHECK(said->standing == Standing::alive);
+  CHECK(said->status == MemberStatus::alive);
   CHECK(said->news.empty());
   Network net(1);  // and a member that speaks so is answered
   auto all = fleet(net, 3, 0);
@@ -195,7 +196,7 @@
     Said said = sample();
     said.kind = static_cast<Kind>(kind);
     said.target = kind == 3 ? "boris" : "";
-    said.news.push_back({"balancer-0", net[0].address, 5'000'000'000, Standing::suspect, 1, {"x"}, 0});
+    said.news.push_back({"balancer-0", net[0].address, 5'000'000'000, MemberStatus::suspect, 1, {"x"}, 0});
     bodies.push_back(encode(said));
   }
   std::size_t read = 0;
@@ -210,6 +211,6 @@
     if (round % 500 == 0) net.run(kSecond);
   }
   CHECK(read > 1000);  // some are readable and false: the checks inside must hold all the same
-  CHECK(net[0].view->members().size() <= kMostMembers);
-  CHECK(net[0].view->members().at("balancer-0").standing == Standing::alive);
+  CHECK(net[0].view->members().size() <= kMaxMembers);
+  CHECK(net[0].view->members().at("balancer-0").status == MemberStatus::alive);
 }
--- a/tests/fleet/view/network.h
+++ b/tests/fleet/view/network.h
@@ -90,10 +90,11 @@
   bool equal(const std::vector<std::size_t>& there) {
     for (std::size_t i : there) {
       View& view = *processes_[i].view;
-      if (view.digest() != processes_[there[0]].view->digest() || view.alive() != there.size()) return false;
+      if (view.digest() != processes_[there[0]].view->digest() || view.live_count() != there.size())
+        return false;
       for (std::size_t j : there) {
         auto it = view.members().find(processes_[j].name);
-        if (it == view.members().end() || it->second.standing != Standing::alive) return false;
+        if (it == view.members().end() || it->second.status != MemberStatus::alive) return false;
       }
     }
     return true;
@@ -101,7 +102,7 @@
   std::vector<std::size_t> running() {
     std::vector<std::size_t> there;
     for (std::size_t i = 0; i < processes_.size(); ++i)
-      if (processes_[i].view && !processes_[i].view->twin()) there.push_back(i);
+      if (processes_[i].view && !processes_[i].view->name_conflict()) there.push_back(i);
     return there;
   }
   // How long until it holds; `most` where it does not.
--- a/tests/fleet/view/random_test.cpp
+++ b/tests/fleet/view/random_test.cpp
@@ -26,7 +26,7 @@
       if (member.incarnation < before) FAIL("an incarnation goes back");
       before = member.incarnation;
     }
-    if (view.members().at(net[i].name).standing == Standing::gone) FAIL("holds itself gone");
+    if (view.members().at(net[i].name).status == MemberStatus::dead) FAIL("holds itself gone");
   };
   for (int step = 0; step < 40; ++step) {
     std::size_t i = net.draw(count);
@@ -90,7 +90,7 @@
   for (int i = 0; i < 40; ++i) {
     std::string name = "m";
     name += std::to_string(i);
-    gossip.add({name, "10.0.0.1:1", 1, Standing::alive, 1, {}, 0});
+    gossip.add({name, "10.0.0.1:1", 1, MemberStatus::alive, 1, {}, 0});
   }
   std::map<std::string, int> told;
   auto first = gossip.take(40, 1000, "m39");
