--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -94,9 +94,9 @@
       demand(again ? again->body == envelope->body && again->sender == envelope->sender
                    : why == DropReason::too_long);
     }
-  if (const auto said = view::decode(bytes)) {
+  if (const auto message = view::decode(bytes)) {
     read = true;
-    const std::string octets = view::encode(*said);
+    const std::string octets = view::encode(*message);
     const auto again = view::decode(octets);
     demand(again ? view::encode(*again) == octets : octets.size() > (1 << 20));
   }
--- a/src/fleet/view/exchange.cpp
+++ b/src/fleet/view/exchange.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-using view::Kind;
-using view::Said;
+using view::MessageKind;
+using view::ViewMessage;
 
 void View::State::step_meetings(Time now, Outbox& out) {
   if (now >= next_seed) {
@@ -27,10 +27,10 @@
         unknown.push_back(seed);
     if (!alone && unknown.size() > 1) unknown = {unknown[one_of(unknown.size())]};
     for (const std::string& seed : unknown) {
-      Said said;
-      said.kind = Kind::ping;
-      said.sequence = chance();
-      send(std::move(said), {}, seed, out);
+      ViewMessage message;
+      message.kind = MessageKind::ping;
+      message.sequence = chance();
+      send(std::move(message), {}, seed, out);
     }
   }
   if (now >= next_retry) {  // one that is gone: behind a partition that has healed it hears that, and refutes
@@ -42,11 +42,11 @@
     for (const auto& [one, suspicion] : suspicions)
       if (now - suspicion.begun > 2 * settings.probe && met.size() < 2) met.push_back(one);
     for (const std::string& one : met) {
-      Said said;
-      said.kind = Kind::ping;
-      said.sequence = chance();
-      said.target = one;
-      send(std::move(said), one, members.at(one).address, out);
+      ViewMessage message;
+      message.kind = MessageKind::ping;
+      message.sequence = chance();
+      message.target = one;
+      send(std::move(message), one, members.at(one).address, out);
     }
   }
   if (now >= next_exchange) {
@@ -65,28 +65,28 @@
 }
 
 void View::State::ask(Time now, const std::string& to, Outbox& out) {
-  Said said;
-  said.kind = Kind::ask;
-  fill_head(said);
-  said.digest = digest;
+  ViewMessage message;
+  message.kind = MessageKind::push_pull_request;
+  fill_head(message);
+  message.digest = digest;
   last_ask = now;
-  out.push_back({to, Component::view, Transport::stream, view::encode(said)});
+  out.push_back({to, Component::view, Transport::stream, view::encode(message)});
 }
 
-void View::State::send_whole(Time now, Kind kind, const std::string& to, Outbox& out) {
-  Said said;
-  said.kind = kind;
-  fill_head(said);
-  said.digest = digest;
+void View::State::send_whole(Time now, MessageKind kind, const std::string& to, Outbox& out) {
+  ViewMessage message;
+  message.kind = kind;
+  fill_head(message);
+  message.digest = digest;
   for (const auto& [other, member] : members) {
-    said.news.push_back(news_of(member));
-    said.news.back().age = now - member.since;
+    message.updates.push_back(update_for(member));
+    message.updates.back().age = now - member.since;
   }
-  out.push_back({to, Component::view, Transport::stream, view::encode(said)});
+  out.push_back({to, Component::view, Transport::stream, view::encode(message)});
 }
 
-void View::State::on_exchange(Time now, const std::string& from, const Said& said, std::size_t brought,
-                              Outbox& out) {
+void View::State::on_exchange(Time now, const std::string& from, const ViewMessage& message,
+                              std::size_t brought, Outbox& out) {
   // One that brought much is followed by another soon: many join at once, or a partition has healed.
   if (brought > 1) {
     const Time least = settings.probe * 2 / 5;
@@ -95,37 +95,38 @@
   }
   auto it = members.find(from);
   const std::string to =
-      it != members.end() && it->second.address == said.address ? from : "@" + said.address;
-  if (said.digest == digest) return;  // nothing to tell each other
-  if (said.kind == Kind::ask) send_whole(now, Kind::whole, to, out);
-  if (said.kind == Kind::whole) send_whole(now, Kind::answer, to, out);
+      it != members.end() && it->second.address == message.address ? from : "@" + message.address;
+  if (message.digest == digest) return;  // nothing to tell each other
+  if (message.kind == MessageKind::push_pull_request) send_whole(now, MessageKind::push_pull_state, to, out);
+  if (message.kind == MessageKind::push_pull_state) send_whole(now, MessageKind::push_pull_reply, to, out);
 }
 
 // Another process says this one's name. Words may be old ones, played again: only an answer to a ping of this
 // process shows that it is there now.
-void View::State::meet_twin(Time now, const Said& said, Outbox& out) {
-  if (said.address == address) return;  // this process's own words, or those of one that was here before
-  if (said.kind == Kind::ack && twin_sequence != 0 && said.sequence == twin_sequence) {
+void View::State::meet_twin(Time now, const ViewMessage& message, Outbox& out) {
+  if (message.address == address) return;  // this process's own words, or those of one that was here before
+  if (message.kind == MessageKind::ack && twin_sequence != 0 && message.sequence == twin_sequence) {
     twin_sequence = 0;
-    if (std::pair(said.born, said.address) < std::pair(born, address)) twin = said.address;
+    if (std::pair(message.start_incarnation, message.address) < std::pair(start_incarnation, address))
+      twin = message.address;
     return;
   }
-  if (said.kind == Kind::ping) {
-    Said ack;
-    ack.kind = Kind::ack;
-    ack.sequence = said.sequence;
+  if (message.kind == MessageKind::ping) {
+    ViewMessage ack;
+    ack.kind = MessageKind::ack;
+    ack.sequence = message.sequence;
     fill_head(ack);
-    out.push_back({"@" + said.address, Component::view, Transport::datagram, view::encode(ack)});
+    out.push_back({"@" + message.address, Component::view, Transport::datagram, view::encode(ack)});
   }
-  probe_twin(now, said.address, out);
+  probe_twin(now, message.address, out);
 }
 
 void View::State::probe_twin(Time now, const std::string& at, Outbox& out) {
   if (now < twin_probed + kTwinPace) return;
   twin_probed = now;
   twin_sequence = chance() | 1;
-  Said ping;
-  ping.kind = Kind::ping;
+  ViewMessage ping;
+  ping.kind = MessageKind::ping;
   ping.sequence = twin_sequence;
   ping.target = name;
   fill_head(ping);
--- a/src/fleet/view/gossip.cpp
+++ b/src/fleet/view/gossip.cpp
@@ -4,13 +4,13 @@
 
 namespace marblehub::fleet::view {
 
-void Gossip::add(News news) {
-  std::size_t octets = octets_of(news);
-  std::string name = news.name;
-  queue_.insert_or_assign(std::move(name), Told{std::move(news), 0, ++order_, octets});
+void Gossip::add(MemberUpdate update) {
+  std::size_t octets = encoded_size(update);
+  std::string name = update.name;
+  queue_.insert_or_assign(std::move(name), Told{std::move(update), 0, ++order_, octets});
 }
 
-std::vector<News> Gossip::take(std::size_t members, std::size_t octets, const std::string& except) {
+std::vector<MemberUpdate> Gossip::take(std::size_t members, std::size_t octets, const std::string& except) {
   constexpr std::size_t considered = 24;  // more than fit into a datagram
   std::vector<std::map<std::string, Told>::iterator> next;
   for (auto it = queue_.begin(); it != queue_.end(); ++it)
@@ -23,12 +23,12 @@
                     next.begin() + static_cast<std::ptrdiff_t>(std::min(considered, next.size())), next.end(),
                     before);
   if (next.size() > considered) next.resize(considered);
-  std::vector<News> taken;
+  std::vector<MemberUpdate> taken;
   const int most = most_times(members);
   for (auto it : next) {
     if (it->second.octets > octets) continue;
     octets -= it->second.octets;
-    taken.push_back(it->second.news);
+    taken.push_back(it->second.update);
     if (++it->second.times >= most) queue_.erase(it);
   }
   return taken;
--- a/src/fleet/view/gossip.h
+++ b/src/fleet/view/gossip.h
@@ -21,18 +21,18 @@
         std::min(std::ceil(3 * std::log(n)), std::max(6.0, std::ceil(3 * std::log10(n)))));
   }
   // Takes the place of what was still to be told about the same member.
-  void add(News news);
+  void add(MemberUpdate update);
   void clear() { queue_.clear(); }
   void forget(const std::string& name) { queue_.erase(name); }
   // As many as fit into `octets`; each counts as told once more. `except` is told in another way.
-  std::vector<News> take(std::size_t members, std::size_t octets, const std::string& except);
+  std::vector<MemberUpdate> take(std::size_t members, std::size_t octets, const std::string& except);
   std::size_t size() const { return queue_.size(); }
   bool fresh() const;                       // something was told fewer than kFresh times
   bool bounded(std::size_t members) const;  // invariant: nothing told more often than it may be
 
  private:
   struct Told {
-    News news;
+    MemberUpdate update;
     int times = 0;
     std::uint64_t order = 0;
     std::size_t octets = 0;
--- a/src/fleet/view/message.cpp
+++ b/src/fleet/view/message.cpp
@@ -17,10 +17,10 @@
 
 bool status_known(std::uint8_t status) { return status <= static_cast<std::uint8_t>(MemberStatus::left); }
 
-bool read(const wire::News& from, News& to) {
-  if (!text_fits(from.name(), kLongestMemberName) || !text_fits(from.address(), kLongestAddress))
+bool read(const wire::MemberUpdate& from, MemberUpdate& to) {
+  if (!text_fits(from.name(), kMaxMemberNameBytes) || !text_fits(from.address(), kMaxAddressBytes))
     return false;
-  if (!status_known(from.status()) || from.incarnation() > kMostIncarnation) return false;
+  if (!status_known(from.status()) || from.incarnation() > kMaxIncarnation) return false;
   to.name = from.name()->str();
   to.address = from.address()->str();
   to.incarnation = from.incarnation();
@@ -29,85 +29,87 @@
   to.age = Time{from.age_ms()} * kMillisecond;
   if (from.accusers())
     for (const auto* accuser : *from.accusers()) {
-      if (!text_fits(accuser, kLongestMemberName)) return false;
-      if (to.accusers.size() < kMostAccusers) to.accusers.push_back(accuser->str());
+      if (!text_fits(accuser, kMaxMemberNameBytes)) return false;
+      if (to.accusers.size() < kMaxAccusers) to.accusers.push_back(accuser->str());
     }
   return true;
 }
 
-std::size_t octets_of(const std::string& text) { return 4 + (text.size() + 4) / 4 * 4; }
+std::size_t encoded_size(const std::string& text) { return 4 + (text.size() + 4) / 4 * 4; }
 
 }  // namespace
 
 // Each table: its vtable (shared between equal ones, but counted), offsets and padding, rounded up.
-std::size_t octets_of(const News& news) {
-  std::size_t octets = 64 + octets_of(news.name) + octets_of(news.address);
-  for (const std::string& accuser : news.accusers) octets += 4 + octets_of(accuser);
+std::size_t encoded_size(const MemberUpdate& update) {
+  std::size_t octets = 64 + encoded_size(update.name) + encoded_size(update.address);
+  for (const std::string& accuser : update.accusers) octets += 4 + encoded_size(accuser);
   return octets;
 }
 
-std::size_t octets_of_head(const Said& said) {
-  return 120 + octets_of(said.address) + octets_of(said.target) + octets_of(said.target_address);
+std::size_t encoded_header_size(const ViewMessage& message) {
+  return 120 + encoded_size(message.address) + encoded_size(message.target) +
+         encoded_size(message.target_address);
 }
 
-std::string encode(const Said& said) {
+std::string encode(const ViewMessage& message) {
   FlatBufferBuilder builder(1536);
-  std::vector<flatbuffers::Offset<wire::News>> news;
-  news.reserve(said.news.size());
-  for (const News& one : said.news) {
+  std::vector<flatbuffers::Offset<wire::MemberUpdate>> updates;
+  updates.reserve(message.updates.size());
+  for (const MemberUpdate& one : message.updates) {
     flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>>> accusers;
     if (!one.accusers.empty()) accusers = builder.CreateVectorOfStrings(one.accusers);
     auto name = builder.CreateString(one.name), address = builder.CreateString(one.address);
     Time age = std::clamp<Time>(one.age / kMillisecond, 0, 0xffffffff);
-    news.push_back(wire::CreateNews(builder, name, address, one.incarnation,
-                                    static_cast<std::uint8_t>(one.status), one.schema, accusers,
-                                    static_cast<std::uint32_t>(age)));
+    updates.push_back(wire::CreateMemberUpdate(builder, name, address, one.incarnation,
+                                               static_cast<std::uint8_t>(one.status), one.schema, accusers,
+                                               static_cast<std::uint32_t>(age)));
   }
-  auto all = builder.CreateVector(news);
-  auto address = builder.CreateString(said.address);
+  auto all = builder.CreateVector(updates);
+  auto address = builder.CreateString(message.address);
   flatbuffers::Offset<flatbuffers::String> target, target_address;
-  if (!said.target.empty()) target = builder.CreateString(said.target);
-  if (!said.target_address.empty()) target_address = builder.CreateString(said.target_address);
-  builder.Finish(wire::CreateSaid(
-      builder, static_cast<std::uint8_t>(said.kind), said.sequence, said.born, said.incarnation, address,
-      said.schema, static_cast<std::uint8_t>(said.status), target, target_address, said.digest, all));
+  if (!message.target.empty()) target = builder.CreateString(message.target);
+  if (!message.target_address.empty()) target_address = builder.CreateString(message.target_address);
+  builder.Finish(wire::CreateViewMessage(builder, static_cast<std::uint8_t>(message.kind), message.sequence,
+                                         message.start_incarnation, message.incarnation, address,
+                                         message.schema, static_cast<std::uint8_t>(message.status), target,
+                                         target_address, message.digest, all));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-std::optional<Said> decode(std::string_view body) {
+std::optional<ViewMessage> decode(std::string_view body) {
   if (body.size() < 8 || body.size() > (std::size_t{1} << 20)) return std::nullopt;
   std::string copy(body);  // aligned
   const auto* data = reinterpret_cast<const std::uint8_t*>(copy.data());
   flatbuffers::Verifier verifier(data, copy.size());
-  if (!wire::VerifySaidBuffer(verifier)) return std::nullopt;
-  const wire::Said& from = *wire::GetSaid(data);
-  if (from.kind() < static_cast<std::uint8_t>(Kind::ping) ||
-      from.kind() > static_cast<std::uint8_t>(Kind::news) || !status_known(from.status()) ||
-      from.incarnation() > kMostIncarnation || from.born() > kMostIncarnation ||
-      !text_fits(from.address(), kLongestAddress))
+  if (!wire::VerifyViewMessageBuffer(verifier)) return std::nullopt;
+  const wire::ViewMessage& from = *wire::GetViewMessage(data);
+  if (from.kind() < static_cast<std::uint8_t>(MessageKind::ping) ||
+      from.kind() > static_cast<std::uint8_t>(MessageKind::gossip) || !status_known(from.status()) ||
+      from.incarnation() > kMaxIncarnation || from.start_incarnation() > kMaxIncarnation ||
+      !text_fits(from.address(), kMaxAddressBytes))
     return std::nullopt;
-  Said to;
-  to.kind = static_cast<Kind>(from.kind());
+  ViewMessage to;
+  to.kind = static_cast<MessageKind>(from.kind());
   to.sequence = from.sequence();
-  to.born = from.born();
+  to.start_incarnation = from.start_incarnation();
   to.incarnation = from.incarnation();
   to.address = from.address()->str();
   to.schema = from.schema();
   to.status = static_cast<MemberStatus>(from.status());
   to.digest = from.digest();
   if (from.target()) {
-    if (from.target()->size() > kLongestMemberName) return std::nullopt;
+    if (from.target()->size() > kMaxMemberNameBytes) return std::nullopt;
     to.target = from.target()->str();
   }
   if (from.target_address()) {
-    if (from.target_address()->size() > kLongestAddress) return std::nullopt;
+    if (from.target_address()->size() > kMaxAddressBytes) return std::nullopt;
     to.target_address = from.target_address()->str();
   }
-  if (from.news())
-    for (const auto* one : *from.news()) {
-      News news;
-      if (!read(*one, news)) return std::nullopt;  // all or nothing: half of a message is no message
-      to.news.push_back(std::move(news));
+  if (from.updates())
+    for (const auto* one : *from.updates()) {
+      MemberUpdate update;
+      if (!read(*one, update)) return std::nullopt;  // all or nothing: half of a message is no message
+      to.updates.push_back(std::move(update));
     }
   return to;
 }
--- a/src/fleet/view/message.h
+++ b/src/fleet/view/message.h
@@ -10,13 +10,13 @@
 
 namespace marblehub::fleet::view {
 
-constexpr std::size_t kMostAccusers = 4;  // the first and Lifeguard's K = 3 that confirm
-constexpr std::size_t kLongestBody = 1200;
-constexpr std::size_t kLongestMemberName = 128, kLongestAddress = 64;
-constexpr std::uint64_t kMostIncarnation = std::uint64_t{1} << 62;  // above: cannot be true, is not believed
+constexpr std::size_t kMaxAccusers = 4;  // the first and Lifeguard's K = 3 that confirm
+constexpr std::size_t kMaxDatagramBodyBytes = 1200;
+constexpr std::size_t kMaxMemberNameBytes = 128, kMaxAddressBytes = 64;
+constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;  // above: cannot be true, is not believed
 
 // What is said about one member.
-struct News {
+struct MemberUpdate {
   std::string name, address;
   std::uint64_t incarnation = 0;
   MemberStatus status = MemberStatus::alive;
@@ -25,35 +25,35 @@
   Time age = 0;                       // of its standing, in a whole exchange; milliseconds on the wire
 };
 
-enum class Kind : std::uint8_t {
+enum class MessageKind : std::uint8_t {
   ping = 1,  // answer with ack and the same sequence
   ack,
-  ping_for,  // probe `target` for me, then ack in its name or nack
+  ping_request,  // probe `target` for me, then ack in its name or nack
   nack,
-  ask,     // by stream: my digest is this; send the whole where yours differs
-  whole,   // by stream: all members; send yours in return
-  answer,  // by stream: all members, in return
-  news     // nothing but gossip; not answered
+  push_pull_request,  // by stream: my digest is this; send the whole where yours differs
+  push_pull_state,    // by stream: all members; send yours in return
+  push_pull_reply,    // by stream: all members, in return
+  gossip              // nothing but gossip; not answered
 };
 
-struct Said {
-  Kind kind = Kind::ping;
+struct ViewMessage {
+  MessageKind kind = MessageKind::ping;
   std::uint64_t sequence = 0;
-  std::uint64_t born = 0;         // of the sender: the incarnation its process began with
-  std::uint64_t incarnation = 0;  // of the sender, as `address`, `schema` and `standing`
+  std::uint64_t start_incarnation = 0;  // of the sender: the incarnation its process began with
+  std::uint64_t incarnation = 0;        // of the sender, as `address`, `schema` and `standing`
   std::string address;
   std::uint8_t schema = 1;
   MemberStatus status = MemberStatus::alive;
   std::string target, target_address;  // whom it is meant for or about; empty: whoever is there
   std::uint64_t digest = 0;            // of the sender's view where it is settled; 0: it is not
-  std::vector<News> news;
+  std::vector<MemberUpdate> updates;
 };
 
-std::string encode(const Said& said);
-std::optional<Said> decode(std::string_view body);  // none: cut, out of bounds, or of no known kind
+std::string encode(const ViewMessage& message);
+std::optional<ViewMessage> decode(std::string_view body);  // none: cut, out of bounds, or of no known kind
 
 // Octets that this takes in a message at most, so that news are chosen to fit without trying.
-std::size_t octets_of(const News& news);
-std::size_t octets_of_head(const Said& said);
+std::size_t encoded_size(const MemberUpdate& update);
+std::size_t encoded_header_size(const ViewMessage& message);
 
 }  // namespace marblehub::fleet::view
--- a/src/fleet/view/news.cpp
+++ b/src/fleet/view/news.cpp
@@ -35,79 +35,80 @@
 
 }  // namespace
 
-using view::News;
+using view::MemberUpdate;
 
-News View::State::news_of(const Member& member) const {
-  News news{member.name, member.address, member.incarnation, member.status, member.schema, {}, 0};
+MemberUpdate View::State::update_for(const Member& member) const {
+  MemberUpdate update{member.name, member.address, member.incarnation, member.status, member.schema, {}, 0};
   auto it = suspicions.find(member.name);
-  if (it != suspicions.end()) news.accusers = it->second.accusers;
-  return news;
+  if (it != suspicions.end()) update.accusers = it->second.accusers;
+  return update;
 }
 
 void View::State::doubt(int by) { local_health = std::clamp(local_health + by, 0, kMaxLocalHealth); }
 
-bool View::State::hear(Time now, const News& news, Source source, Outbox& out) {
-  if (news.name == name) {
-    hear_of_self(now, news, out);
+bool View::State::hear(Time now, const MemberUpdate& update, Source source, Outbox& out) {
+  if (update.name == name) {
+    hear_of_self(now, update, out);
     return false;
   }
-  auto it = members.find(news.name);
+  auto it = members.find(update.name);
   if (it == members.end()) {
     if (members.size() >= kMaxMembers) return false;
-    if (!is_live(news.status)) {
+    if (!is_live(update.status)) {
       // Nothing is lost with one that was never here; but a joiner counts and tries those lost before it
       // came.
-      if (source == Source::gossip || news.status == MemberStatus::left || news.age >= kDeadMemberRetention)
+      if (source == Source::gossip || update.status == MemberStatus::left ||
+          update.age >= kDeadMemberRetention)
         return false;
-      members[news.name] = {news.name,   news.address, news.incarnation,
-                            news.status, news.schema,  now - news.age};
+      members[update.name] = {update.name,   update.address, update.incarnation,
+                              update.status, update.schema,  now - update.age};
       ++gone;
       return true;
     }
-    Member& member = members[news.name];
-    member.name = news.name;
+    Member& member = members[update.name];
+    member.name = update.name;
     member.status = MemberStatus::left;  // until taken over
-    take_over(now, member, news);
+    take_over(now, member, update);
     return true;
   }
   Member& member = it->second;
   // One name, one address while it is there: a later process of that name elsewhere has to wait until the
   // earlier is given up, and words about it are not about this one.
-  if (is_live(member.status) && news.address != member.address) return false;
-  if (news.incarnation < member.incarnation) return false;
-  if (news.incarnation == member.incarnation) {
-    if (news.status == MemberStatus::suspect && member.status == MemberStatus::suspect)
-      return confirm(now, member, news.accusers);
-    if (news.status <= member.status) return false;
+  if (is_live(member.status) && update.address != member.address) return false;
+  if (update.incarnation < member.incarnation) return false;
+  if (update.incarnation == member.incarnation) {
+    if (update.status == MemberStatus::suspect && member.status == MemberStatus::suspect)
+      return confirm(now, member, update.accusers);
+    if (update.status <= member.status) return false;
   }
   // An exchange says what another gave up, perhaps long ago and behind a partition, of one that answers here.
   // It is put to that member itself, which then refutes; were it gone, this balancer's own probes would find
   // out.
-  if (source == Source::exchange && news.status == MemberStatus::dead && is_live(member.status)) {
-    view::Said said;
-    said.kind = view::Kind::ping;
-    said.sequence = chance();
-    said.target = member.name;
-    fill_head(said);
-    said.news.push_back(news);
-    out.push_back({member.name, Component::view, Transport::datagram, view::encode(said)});
+  if (source == Source::exchange && update.status == MemberStatus::dead && is_live(member.status)) {
+    view::ViewMessage message;
+    message.kind = view::MessageKind::ping;
+    message.sequence = chance();
+    message.target = member.name;
+    fill_head(message);
+    message.updates.push_back(update);
+    out.push_back({member.name, Component::view, Transport::datagram, view::encode(message)});
     return false;
   }
-  take_over(now, member, news);
+  take_over(now, member, update);
   return true;
 }
 
-void View::State::hear_of_self(Time now, const News& news, Outbox& out) {
+void View::State::hear_of_self(Time now, const MemberUpdate& update, Outbox& out) {
   if (stopped()) return;
-  if (news.address != address && is_live(news.status)) probe_twin(now, news.address, out);
+  if (update.address != address && is_live(update.status)) probe_twin(now, update.address, out);
   Member& me = self();
-  if (news.incarnation < me.incarnation ||
-      (news.incarnation == me.incarnation && news.status == MemberStatus::alive))
+  if (update.incarnation < me.incarnation ||
+      (update.incarnation == me.incarnation && update.status == MemberStatus::alive))
     return;
   // An accusation, or a word of an earlier process whose clock was ahead: overruled by a higher incarnation.
-  if (news.status == MemberStatus::suspect) doubt(1);
+  if (update.status == MemberStatus::suspect) doubt(1);
   digest ^= share(me);
-  me.incarnation = news.incarnation + 1;
+  me.incarnation = update.incarnation + 1;
   me.since = now;
   digest ^= share(me);
   changed = now;
@@ -116,19 +117,19 @@
   tell(me);
 }
 
-void View::State::take_over(Time now, Member& member, const News& news) {
-  const bool was = is_live(member.status), is = is_live(news.status);
-  MARBLEHUB_INVARIANT("view", news.incarnation >= member.incarnation,
+void View::State::take_over(Time now, Member& member, const MemberUpdate& update) {
+  const bool was = is_live(member.status), is = is_live(update.status);
+  MARBLEHUB_INVARIANT("view", update.incarnation >= member.incarnation,
                       "an incarnation goes back: " + member.name);
   digest ^= share(member);
   if (is_dead(member.status)) --gone;
-  if (is_dead(news.status)) ++gone;
+  if (is_dead(update.status)) ++gone;
   present = present + is - was;
-  if (member.status != news.status || member.incarnation != news.incarnation) member.since = now;
-  member.address = news.address;
-  member.incarnation = news.incarnation;
-  member.status = news.status;
-  member.schema = news.schema;
+  if (member.status != update.status || member.incarnation != update.incarnation) member.since = now;
+  member.address = update.address;
+  member.incarnation = update.incarnation;
+  member.status = update.status;
+  member.schema = update.schema;
   digest ^= share(member);
   changed = now;
   agreed = 0;
@@ -137,7 +138,7 @@
   suspicions.erase(member.name);
   if (is && !was)
     order.insert(order.begin() + static_cast<std::ptrdiff_t>(one_of(order.size() + 1)), member.name);
-  if (news.status == MemberStatus::suspect) {
+  if (update.status == MemberStatus::suspect) {
     // Lifeguard, section IV.B: from `most` down to `least` as up to K others accuse too.
     Suspicion& suspicion = suspicions[member.name];
     suspicion.begun = now;
@@ -145,10 +146,10 @@
         static_cast<Time>(least_periods(settings.suspicion, present) * static_cast<double>(settings.probe));
     suspicion.needed = std::min<std::size_t>(3, present > 2 ? present - 2 : 0);
     suspicion.most = suspicion.needed ? 6 * suspicion.least : suspicion.least;
-    confirm(now, member, news.accusers);
+    confirm(now, member, update.accusers);
     // About twelve of the fleet look for themselves at once: a live suspect hears of it sooner, a dead one is
     // accused by enough to be given up in the least time.
-    bool mine = !news.accusers.empty() && news.accusers.front() == name;
+    bool mine = !update.accusers.empty() && update.accusers.front() == name;
     if (!mine && chance() % present < 12) probe_next(member.name);
   }
   tell(member);
@@ -156,16 +157,16 @@
 
 bool View::State::confirm(Time, const Member& member, const std::vector<std::string>& accusers) {
   Suspicion& suspicion = suspicions[member.name];
-  bool news = false;
+  bool added = false;
   for (const std::string& accuser : accusers)
     if (suspicion.accusers.size() <= suspicion.needed &&
         std::find(suspicion.accusers.begin(), suspicion.accusers.end(), accuser) ==
             suspicion.accusers.end()) {
       suspicion.accusers.push_back(accuser);
-      news = true;
+      added = true;
     }
-  if (news) tell(member);
-  return news;
+  if (added) tell(member);
+  return added;
 }
 
 Time View::State::deadline(const std::string& suspect) const {
@@ -182,10 +183,10 @@
   for (const auto& [suspect, suspicion] : suspicions)
     if (deadline(suspect) <= now) overdue.push_back(suspect);
   for (const std::string& suspect : overdue) {
-    News news = news_of(members.at(suspect));
-    news.status = MemberStatus::dead;
-    news.accusers.clear();
-    hear(now, news, Source::gossip, out);
+    MemberUpdate update = update_for(members.at(suspect));
+    update.status = MemberStatus::dead;
+    update.accusers.clear();
+    hear(now, update, Source::gossip, out);
   }
 }
 
--- a/src/fleet/view/probes.cpp
+++ b/src/fleet/view/probes.cpp
@@ -11,24 +11,25 @@
 constexpr std::size_t kGossipTo = 3;  // in a step
 }
 
-using view::Kind;
-using view::Said;
+using view::MessageKind;
+using view::ViewMessage;
 
 // Adds who sends, what the addressee should hear about itself (Lifeguard's buddy system, and a wrong
 // address), and as much gossip as fits.
-void View::State::send(Said said, const std::string& to, const std::string& at, Outbox& out) {
-  fill_head(said);
-  std::size_t used = octets_of_head(said);
+void View::State::send(ViewMessage message, const std::string& to, const std::string& at, Outbox& out) {
+  fill_head(message);
+  std::size_t used = encoded_header_size(message);
   auto it = members.find(to);
   const bool known = it != members.end() && it->second.address == at;
   if (it != members.end() && (it->second.status != MemberStatus::alive || !known)) {
-    said.news.push_back(news_of(it->second));
-    used += octets_of(said.news.back());
+    message.updates.push_back(update_for(it->second));
+    used += encoded_size(message.updates.back());
   }
-  for (view::News& news : gossip.take(present, view::kLongestBody - used, to))
-    said.news.push_back(std::move(news));
-  Outgoing outgoing{known ? to : "@" + at, Component::view, Transport::datagram, view::encode(said)};
-  MARBLEHUB_INVARIANT("view", outgoing.body.size() <= view::kLongestBody, "a datagram over its bound");
+  for (view::MemberUpdate& update : gossip.take(present, view::kMaxDatagramBodyBytes - used, to))
+    message.updates.push_back(std::move(update));
+  Outgoing outgoing{known ? to : "@" + at, Component::view, Transport::datagram, view::encode(message)};
+  MARBLEHUB_INVARIANT("view", outgoing.body.size() <= view::kMaxDatagramBodyBytes,
+                      "a datagram over its bound");
   out.push_back(std::move(outgoing));
 }
 
@@ -70,19 +71,19 @@
     return;
   }
   probe = Probe{target, chance(), 0, now + ack, now + ack + (period - ack) / 2, now + period, {}, {}};
-  Said said;
-  said.kind = Kind::ping;
-  said.sequence = probe->sequence;
-  said.target = target;
-  send(std::move(said), target, members.at(target).address, out);
+  ViewMessage message;
+  message.kind = MessageKind::ping;
+  message.sequence = probe->sequence;
+  message.target = target;
+  send(std::move(message), target, members.at(target).address, out);
 }
 
 // Asked again itself, and others asked in this one's place: twice in a period, so that a lossy network makes
 // few suspects.
 void View::State::ask_helpers(Outbox& out) {
   const Member& target = members.at(probe->target);
-  Said again;
-  again.kind = Kind::ping;
+  ViewMessage again;
+  again.kind = MessageKind::ping;
   again.sequence = probe->sequence;
   again.target = target.name;
   send(std::move(again), target.name, target.address, out);
@@ -93,12 +94,12 @@
     for (std::string& one : some(wanted - helpers.size(), is_suspect, target.name))
       helpers.push_back(std::move(one));
   for (const std::string& helper : helpers) {
-    Said said;
-    said.kind = Kind::ping_for;
-    said.sequence = probe->sequence;
-    said.target = target.name;
-    said.target_address = target.address;
-    send(std::move(said), helper, members.at(helper).address, out);
+    ViewMessage message;
+    message.kind = MessageKind::ping_request;
+    message.sequence = probe->sequence;
+    message.target = target.name;
+    message.target_address = target.address;
+    send(std::move(message), helper, members.at(helper).address, out);
     if (std::find(probe->helpers.begin(), probe->helpers.end(), helper) == probe->helpers.end())
       probe->helpers.push_back(helper);
   }
@@ -127,11 +128,11 @@
       probe_next(helper);
     }
     if (probe->helpers.empty() || silent != 0) doubt(1);
-    view::News news = news_of(target);
-    news.status = MemberStatus::suspect;
-    news.accusers = {name};
+    view::MemberUpdate update = update_for(target);
+    update.status = MemberStatus::suspect;
+    update.accusers = {name};
     probe.reset();
-    hear(now, news, Source::gossip, out);
+    hear(now, update, Source::gossip, out);
   } else if (probe && probe->round < 2 && now >= probe->next) {
     ++probe->round;
     probe->next = probe->round == 1 ? std::max(probe->half, now + 1) : probe->end;  // late: not due at once
@@ -140,46 +141,51 @@
   if (now >= next_probe) begin_probe(now, out);
 }
 
-void View::State::on_ping(Time now, const std::string& from, const Said& said, Outbox& out) {
-  Said ack;
-  ack.kind = Kind::ack;
-  ack.sequence = said.sequence;
-  send(std::move(ack), from, said.address, out);
+void View::State::on_ping(Time now, const std::string& from, const ViewMessage& message, Outbox& out) {
+  ViewMessage ack;
+  ack.kind = MessageKind::ack;
+  ack.sequence = message.sequence;
+  send(std::move(ack), from, message.address, out);
   (void)now;
 }
 
-void View::State::on_ack(Time now, const Said& said, Outbox& out) {
-  if (probe && said.sequence == probe->sequence) {
+void View::State::on_ack(Time now, const ViewMessage& message, Outbox& out) {
+  if (probe && message.sequence == probe->sequence) {
     probe.reset();
     doubt(-1);
   }
-  auto it = helping.find(said.sequence);
+  auto it = helping.find(message.sequence);
   if (it == helping.end() || now >= it->second.until) return;
   Helping help = std::move(it->second);
   helping.erase(it);
-  Said ack;
-  ack.kind = Kind::ack;
+  ViewMessage ack;
+  ack.kind = MessageKind::ack;
   ack.sequence = help.sequence;
   ack.target = help.target;
   send(std::move(ack), help.requester, help.requester_address, out);
 }
 
-void View::State::on_ping_for(Time now, const std::string& from, const Said& said, Outbox& out) {
-  if (said.target.empty() || said.target_address.empty() || helping.size() >= kMostHelping) return;
+void View::State::on_ping_request(Time now, const std::string& from, const ViewMessage& message,
+                                  Outbox& out) {
+  if (message.target.empty() || message.target_address.empty() || helping.size() >= kMostHelping) return;
   std::uint64_t sequence = chance();
   // The nack leaves at four fifths of the time that its requester waits at best (Lifeguard, section IV.A).
-  helping[sequence] = {
-      from, said.address, said.target, said.sequence, now + settings.ack * 4 / 5, now + 2 * settings.probe,
-      false};
-  Said ping;
-  ping.kind = Kind::ping;
+  helping[sequence] = {from,
+                       message.address,
+                       message.target,
+                       message.sequence,
+                       now + settings.ack * 4 / 5,
+                       now + 2 * settings.probe,
+                       false};
+  ViewMessage ping;
+  ping.kind = MessageKind::ping;
   ping.sequence = sequence;
-  ping.target = said.target;
-  send(std::move(ping), said.target, said.target_address, out);
+  ping.target = message.target;
+  send(std::move(ping), message.target, message.target_address, out);
 }
 
-void View::State::on_nack(const std::string& from, const Said& said) {
-  if (!probe || said.sequence != probe->sequence) return;
+void View::State::on_nack(const std::string& from, const ViewMessage& message) {
+  if (!probe || message.sequence != probe->sequence) return;
   auto in = [&](const std::vector<std::string>& list) {
     return std::find(list.begin(), list.end(), from) != list.end();
   };
@@ -193,10 +199,10 @@
   if (now < next_gossip || present == 1 || !gossip.fresh()) return;
   next_gossip = now + settings.probe * 2 / 5;
   for (const std::string& one : some(kGossipTo, is_live, {})) {
-    Said said;
-    said.kind = Kind::news;
-    said.target = one;
-    send(std::move(said), one, members.at(one).address, out);
+    ViewMessage message;
+    message.kind = MessageKind::gossip;
+    message.target = one;
+    send(std::move(message), one, members.at(one).address, out);
   }
 }
 
@@ -205,8 +211,8 @@
     Helping& help = it->second;
     if (!help.nacked && now >= help.nack) {
       help.nacked = true;
-      Said nack;
-      nack.kind = Kind::nack;
+      ViewMessage nack;
+      nack.kind = MessageKind::nack;
       nack.sequence = help.sequence;
       nack.target = help.target;
       send(std::move(nack), help.requester, help.requester_address, out);
--- a/src/fleet/view/state.h
+++ b/src/fleet/view/state.h
@@ -19,14 +19,15 @@
 
   // -- news.cpp: what is said about members
   enum class Source { gossip, exchange };
-  bool hear(Time now, const view::News& news, Source source, Outbox& out);  // true: something changed
-  void hear_of_self(Time now, const view::News& news, Outbox& out);
-  void take_over(Time now, Member& member, const view::News& news);
+  bool hear(Time now, const view::MemberUpdate& update, Source source,
+            Outbox& out);  // true: something changed
+  void hear_of_self(Time now, const view::MemberUpdate& update, Outbox& out);
+  void take_over(Time now, Member& member, const view::MemberUpdate& update);
   bool confirm(Time now, const Member& member, const std::vector<std::string>& accusers);
   void give_up_overdue(Time now, Outbox& out);
-  view::News news_of(const Member& member) const;
+  view::MemberUpdate update_for(const Member& member) const;
   Time deadline(const std::string& suspect) const;
-  void tell(const Member& member) { gossip.add(news_of(member)); }
+  void tell(const Member& member) { gossip.add(update_for(member)); }
   void doubt(int by);  // itself
 
   // -- probes.cpp: is it there?
@@ -37,20 +38,20 @@
   void probe_next(const std::string& one);
   bool missed_by_others(const std::string& one) const;
   std::string next_target();
-  void on_ping(Time now, const std::string& from, const view::Said& said, Outbox& out);
-  void on_ack(Time now, const view::Said& said, Outbox& out);
-  void on_ping_for(Time now, const std::string& from, const view::Said& said, Outbox& out);
-  void on_nack(const std::string& from, const view::Said& said);
+  void on_ping(Time now, const std::string& from, const view::ViewMessage& message, Outbox& out);
+  void on_ack(Time now, const view::ViewMessage& message, Outbox& out);
+  void on_ping_request(Time now, const std::string& from, const view::ViewMessage& message, Outbox& out);
+  void on_nack(const std::string& from, const view::ViewMessage& message);
   void step_gossip(Time now, Outbox& out);
-  void send(view::Said said, const std::string& name, const std::string& address, Outbox& out);
+  void send(view::ViewMessage message, const std::string& name, const std::string& address, Outbox& out);
 
   // -- exchange.cpp: joiners, those that are gone, twins, whole views
   void step_meetings(Time now, Outbox& out);
   void ask(Time now, const std::string& to, Outbox& out);
-  void on_exchange(Time now, const std::string& from, const view::Said& said, std::size_t brought,
+  void on_exchange(Time now, const std::string& from, const view::ViewMessage& message, std::size_t brought,
                    Outbox& out);
-  void send_whole(Time now, view::Kind kind, const std::string& to, Outbox& out);
-  void meet_twin(Time now, const view::Said& said, Outbox& out);
+  void send_whole(Time now, view::MessageKind kind, const std::string& to, Outbox& out);
+  void meet_twin(Time now, const view::ViewMessage& message, Outbox& out);
   void probe_twin(Time now, const std::string& address, Outbox& out);
 
   // -- view.cpp
@@ -58,7 +59,7 @@
   Time due() const;
   bool converged(Time now) const;
   void check() const;
-  void fill_head(view::Said& said) const;
+  void fill_head(view::ViewMessage& message) const;
   std::uint64_t chance() {  // splitmix64 (Steele, Lea, Flood 2014)
     std::uint64_t z = (random += 0x9e3779b97f4a7c15u);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -73,7 +74,7 @@
 
   const Settings settings;
   const std::string name, address;
-  const std::uint64_t born;  // the incarnation that this process began with
+  const std::uint64_t start_incarnation;  // the incarnation that this process began with
   std::uint64_t random;
 
   std::map<std::string, Member> members;
--- a/src/fleet/view/view.cpp
+++ b/src/fleet/view/view.cpp
@@ -15,20 +15,20 @@
 
 }  // namespace
 
-using view::Kind;
-using view::News;
-using view::Said;
+using view::MemberUpdate;
+using view::MessageKind;
+using view::ViewMessage;
 
 View::State::State(const Settings& given, std::uint64_t incarnation, std::uint64_t seed, Time now)
     : settings(given),
       name(given.name),
       address(given.advertise.empty() ? given.listen : given.advertise),
-      born(std::min(incarnation, view::kMostIncarnation - 1)),
+      start_incarnation(std::min(incarnation, view::kMaxIncarnation - 1)),
       random(seed),
       changed(now) {
   own = &members[name];
-  self() = {name, address, born, MemberStatus::left, 1, now};
-  take_over(now, self(), {name, address, born, MemberStatus::alive, 1, {}, 0});
+  self() = {name, address, start_incarnation, MemberStatus::left, 1, now};
+  take_over(now, self(), {name, address, start_incarnation, MemberStatus::alive, 1, {}, 0});
   order.clear();
   auto within = [&](Time span) {
     return now + static_cast<Time>(chance() % static_cast<std::uint64_t>(span));
@@ -41,12 +41,12 @@
   twin_probed = now - kSecond;
 }
 
-void View::State::fill_head(Said& said) const {
-  said.born = born;
-  said.incarnation = self().incarnation;
-  said.address = address;
-  said.status = self().status;
-  said.digest = converged(last_now) ? digest : 0;
+void View::State::fill_head(ViewMessage& message) const {
+  message.start_incarnation = start_incarnation;
+  message.incarnation = self().incarnation;
+  message.address = address;
+  message.status = self().status;
+  message.digest = converged(last_now) ? digest : 0;
 }
 
 bool View::State::converged(Time now) const {
@@ -123,50 +123,53 @@
 void View::received(Time now, const std::string& from, std::string_view body, Transport transport,
                     Outbox& out) {
   State& s = *state_;
-  if (s.stopped() || from.empty() || from.size() > view::kLongestMemberName) return;
-  if (transport == Transport::datagram && body.size() > view::kLongestBody) return;
-  std::optional<Said> said = view::decode(body);
-  if (!said) return;
-  const bool exchange = said->kind == Kind::ask || said->kind == Kind::whole || said->kind == Kind::answer;
+  if (s.stopped() || from.empty() || from.size() > view::kMaxMemberNameBytes) return;
+  if (transport == Transport::datagram && body.size() > view::kMaxDatagramBodyBytes) return;
+  std::optional<ViewMessage> message = view::decode(body);
+  if (!message) return;
+  const bool exchange = message->kind == MessageKind::push_pull_request ||
+                        message->kind == MessageKind::push_pull_state ||
+                        message->kind == MessageKind::push_pull_reply;
   if (exchange != (transport == Transport::stream)) return;
   // A ping for another that had this address before
-  if (said->kind == Kind::ping && !said->target.empty() && said->target != s.name) return;
+  if (message->kind == MessageKind::ping && !message->target.empty() && message->target != s.name) return;
   s.wake(now);
   if (from == s.name) {
-    s.meet_twin(now, *said, out);
+    s.meet_twin(now, *message, out);
   } else {
     auto it = s.members.find(from);
     const bool met = it == s.members.end() || !is_live(it->second.status);
-    News sender{from, said->address, said->incarnation, said->status, said->schema, {}, 0};
-    const bool there = s.hear(now, sender, State::Source::gossip, out) && is_live(said->status);
+    MemberUpdate sender{from, message->address, message->incarnation, message->status, message->schema, {},
+                        0};
+    const bool there = s.hear(now, sender, State::Source::gossip, out) && is_live(message->status);
     std::size_t brought = 0;
-    for (const News& news : said->news)
-      brought += s.hear(now, news, exchange ? State::Source::exchange : State::Source::gossip, out);
-    const bool known = s.members.count(from) && s.members.at(from).address == said->address;
-    switch (said->kind) {
-      case Kind::ping:
-        s.on_ping(now, from, *said, out);
+    for (const MemberUpdate& update : message->updates)
+      brought += s.hear(now, update, exchange ? State::Source::exchange : State::Source::gossip, out);
+    const bool known = s.members.count(from) && s.members.at(from).address == message->address;
+    switch (message->kind) {
+      case MessageKind::ping:
+        s.on_ping(now, from, *message, out);
         break;
-      case Kind::ack:
-        s.on_ack(now, *said, out);
+      case MessageKind::ack:
+        s.on_ack(now, *message, out);
         break;
-      case Kind::ping_for:
-        s.on_ping_for(now, from, *said, out);
+      case MessageKind::ping_request:
+        s.on_ping_request(now, from, *message, out);
         break;
-      case Kind::nack:
-        s.on_nack(from, *said);
+      case MessageKind::nack:
+        s.on_nack(from, *message);
         break;
-      case Kind::news:
+      case MessageKind::gossip:
         break;
       default:
-        s.on_exchange(now, from, *said, brought, out);
+        s.on_exchange(now, from, *message, brought, out);
     }
     // Met for the first time or again, or both think that all is known and differ: the whole view is
     // exchanged.
-    const bool differ = said->digest != 0 && s.converged(now) && said->digest != s.digest;
+    const bool differ = message->digest != 0 && s.converged(now) && message->digest != s.digest;
     // All seem to know all: what is still to be told would be told in vain. Whoever missed it differs, and
     // asks.
-    if (said->digest != 0 && s.converged(now)) s.agreed = differ ? 0 : s.agreed + 1;
+    if (message->digest != 0 && s.converged(now)) s.agreed = differ ? 0 : s.agreed + 1;
     if (s.agreed >= kAgreed) s.gossip.clear();
     if (known && !exchange && ((met && there) || differ) && now - s.last_ask >= kAskPace)
       s.ask(now, from, out);
@@ -197,11 +200,11 @@
   s.take_over(now, s.self(), {s.name, s.address, s.self().incarnation, MemberStatus::left, 1, {}, 0});
   s.left = true;
   for (const std::string& one : told) {  // its head says it; each passes it on
-    Said said;
-    said.kind = Kind::ping;
-    said.sequence = s.chance();
-    said.target = one;
-    s.send(std::move(said), one, s.members.at(one).address, out);
+    ViewMessage message;
+    message.kind = MessageKind::ping;
+    message.sequence = s.chance();
+    message.target = one;
+    s.send(std::move(message), one, s.members.at(one).address, out);
   }
   s.next_due = s.due();
   s.check();
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -75,16 +75,16 @@
 std::vector<std::string> of_view() {
   std::vector<std::string> all;
   for (int kind = 1; kind <= 8; ++kind) {
-    view::Said said;
-    said.kind = static_cast<view::Kind>(kind);
-    said.sequence = 7, said.born = 1, said.incarnation = 2;
-    said.address = "10.0.0.2:7000";
-    said.target = kind == 3 ? "celia" : "alva";
-    said.target_address = "10.0.0.3:7000";
-    said.digest = 42;
-    said.news = {{"alva", "10.0.0.1:7000", 1, MemberStatus::suspect, 1, {"boris"}, kSecond},
-                 {"celia", "10.0.0.3:7000", 3, MemberStatus::dead, 1, {}, 0}};
-    all.push_back(view::encode(said));
+    view::ViewMessage message;
+    message.kind = static_cast<view::MessageKind>(kind);
+    message.sequence = 7, message.start_incarnation = 1, message.incarnation = 2;
+    message.address = "10.0.0.2:7000";
+    message.target = kind == 3 ? "celia" : "alva";
+    message.target_address = "10.0.0.3:7000";
+    message.digest = 42;
+    message.updates = {{"alva", "10.0.0.1:7000", 1, MemberStatus::suspect, 1, {"boris"}, kSecond},
+                       {"celia", "10.0.0.3:7000", 3, MemberStatus::dead, 1, {}, 0}};
+    all.push_back(view::encode(message));
   }
   return all;
 }
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -64,12 +64,12 @@
   Alva alva;
   const EnvelopeSealer ours("tartu", {kKey}), theirs("narva", {kKey}),
       forger("tartu", {std::string(32, 'f')});
-  view::Said said;
-  said.kind = view::Kind::ping;
-  said.born = said.incarnation = 1;
-  said.address = "127.0.0.1:" + std::to_string(free_port());
+  view::ViewMessage message;
+  message.kind = view::MessageKind::ping;
+  message.start_incarnation = message.incarnation = 1;
+  message.address = "127.0.0.1:" + std::to_string(free_port());
   const auto from = [&](const char* sender, Time sent_at) {
-    return Envelope{kNewestSchema, sender, 1, sent_at, Component::view, view::encode(said)};
+    return Envelope{kNewestSchema, sender, 1, sent_at, Component::view, view::encode(message)};
   };
   const Time now = alva.driver->now();
   Envelope newer = from("boris", now);
--- a/tests/fleet/view/message_test.cpp
+++ b/tests/fleet/view/message_test.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-Said sample() {
-  Said said;
-  said.kind = Kind::ping_for;
-  said.sequence = 0xfeedface12345678;
-  said.born = 7;
-  said.incarnation = 9;
-  said.address = "10.0.0.1:7946";
-  said.target = "alva";
-  said.target_address = "10.0.0.2:7946";
-  said.digest = 42;
-  said.news.push_back(
+ViewMessage sample() {
+  ViewMessage message;
+  message.kind = MessageKind::ping_request;
+  message.sequence = 0xfeedface12345678;
+  message.start_incarnation = 7;
+  message.incarnation = 9;
+  message.address = "10.0.0.1:7946";
+  message.target = "alva";
+  message.target_address = "10.0.0.2:7946";
+  message.digest = 42;
+  message.updates.push_back(
       {"boris", "10.0.0.3:7946", 3, MemberStatus::suspect, 1, {"alva", "celia"}, 5 * kSecond});
-  said.news.push_back({std::string(128, 'n'), std::string(64, 'a'), 1, MemberStatus::left, 1, {}, 0});
-  return said;
+  message.updates.push_back({std::string(128, 'n'), std::string(64, 'a'), 1, MemberStatus::left, 1, {}, 0});
+  return message;
 }
 
 }  // namespace
@@ -36,53 +36,53 @@
 TEST_CASE("a message comes out as it went in") {
   auto out = decode(encode(sample()));
   REQUIRE(out);
-  CHECK(out->kind == Kind::ping_for);
+  CHECK(out->kind == MessageKind::ping_request);
   CHECK(out->sequence == 0xfeedface12345678);
-  CHECK(out->born == 7);
+  CHECK(out->start_incarnation == 7);
   CHECK(out->incarnation == 9);
   CHECK(out->target == "alva");
   CHECK(out->target_address == "10.0.0.2:7946");
   CHECK(out->digest == 42);
-  REQUIRE(out->news.size() == 2);
-  CHECK(out->news[0].accusers == std::vector<std::string>{"alva", "celia"});
-  CHECK(out->news[0].age == 5 * kSecond);
-  CHECK(out->news[1].status == MemberStatus::left);
+  REQUIRE(out->updates.size() == 2);
+  CHECK(out->updates[0].accusers == std::vector<std::string>{"alva", "celia"});
+  CHECK(out->updates[0].age == 5 * kSecond);
+  CHECK(out->updates[1].status == MemberStatus::left);
 }
 
 TEST_CASE("out of bounds is refused whole") {
   auto refused = [](auto&& spoil) {
-    Said said = sample();
-    spoil(said);
-    return !decode(encode(said));
+    ViewMessage message = sample();
+    spoil(message);
+    return !decode(encode(message));
   };
-  CHECK(refused([](Said& s) { s.kind = static_cast<Kind>(0); }));
-  CHECK(refused([](Said& s) { s.kind = static_cast<Kind>(9); }));
-  CHECK(refused([](Said& s) { s.incarnation = kMostIncarnation + 1; }));
-  CHECK(refused([](Said& s) { s.address.clear(); }));
-  CHECK(refused([](Said& s) { s.address = std::string(65, 'a'); }));
-  CHECK(refused([](Said& s) { s.status = static_cast<MemberStatus>(4); }));
-  CHECK(refused([](Said& s) { s.news[0].name.clear(); }));
-  CHECK(refused([](Said& s) { s.news[0].name = std::string(129, 'n'); }));
-  CHECK(refused([](Said& s) { s.news[0].incarnation = ~std::uint64_t{0}; }));
-  CHECK(refused([](Said& s) { s.news[0].status = static_cast<MemberStatus>(9); }));
-  CHECK_FALSE(refused([](Said&) {}));
+  CHECK(refused([](ViewMessage& s) { s.kind = static_cast<MessageKind>(0); }));
+  CHECK(refused([](ViewMessage& s) { s.kind = static_cast<MessageKind>(9); }));
+  CHECK(refused([](ViewMessage& s) { s.incarnation = kMaxIncarnation + 1; }));
+  CHECK(refused([](ViewMessage& s) { s.address.clear(); }));
+  CHECK(refused([](ViewMessage& s) { s.address = std::string(65, 'a'); }));
+  CHECK(refused([](ViewMessage& s) { s.status = static_cast<MemberStatus>(4); }));
+  CHECK(refused([](ViewMessage& s) { s.updates[0].name.clear(); }));
+  CHECK(refused([](ViewMessage& s) { s.updates[0].name = std::string(129, 'n'); }));
+  CHECK(refused([](ViewMessage& s) { s.updates[0].incarnation = ~std::uint64_t{0}; }));
+  CHECK(refused([](ViewMessage& s) { s.updates[0].status = static_cast<MemberStatus>(9); }));
+  CHECK_FALSE(refused([](ViewMessage&) {}));
 }
 
 TEST_CASE("news are reckoned no smaller than they are") {
-  Said said = sample();
-  said.news.clear();
-  CHECK(encode(said).size() <= octets_of_head(said));
+  ViewMessage message = sample();
+  message.updates.clear();
+  CHECK(encode(message).size() <= encoded_header_size(message));
   for (std::size_t length : {1, 2, 3, 4, 64, 128}) {
-    News news{std::string(length, 'n'),
-              std::string(std::min<std::size_t>(length, 64), 'a'),
-              5,
-              MemberStatus::suspect,
-              2,
-              {std::string(length, 'x'), std::string(length, 'y')},
-              7 * kSecond};
-    std::size_t before = encode(said).size();
-    said.news.push_back(news);
-    CHECK(encode(said).size() - before <= octets_of(news));
+    MemberUpdate update{std::string(length, 'n'),
+                        std::string(std::min<std::size_t>(length, 64), 'a'),
+                        5,
+                        MemberStatus::suspect,
+                        2,
+                        {std::string(length, 'x'), std::string(length, 'y')},
+                        7 * kSecond};
+    std::size_t before = encode(message).size();
+    message.updates.push_back(update);
+    CHECK(encode(message).size() - before <= encoded_size(update));
   }
 }
 
@@ -91,29 +91,29 @@
   auto address = newer.CreateString("10.0.0.9:1");
   auto unknown = newer.CreateString("what schema 2 says");
   auto begun = newer.StartTable();
-  newer.AddElement<std::uint8_t>(wire::Said::VT_KIND, 1, 0);
-  newer.AddElement<std::uint64_t>(wire::Said::VT_INCARNATION, 12, 0);
-  newer.AddOffset(wire::Said::VT_ADDRESS, address);
-  newer.AddElement<std::uint8_t>(wire::Said::VT_SCHEMA, 2, 1);
-  newer.AddOffset(wire::Said::VT_NEWS + 2, unknown);
-  newer.AddElement<std::uint64_t>(wire::Said::VT_NEWS + 4, 77, 0);
-  newer.Finish(flatbuffers::Offset<wire::Said>(newer.EndTable(begun)));
-  auto said = decode({reinterpret_cast<const char*>(newer.GetBufferPointer()), newer.GetSize()});
-  REQUIRE(said);
-  CHECK(said->incarnation == 12);
-  CHECK(said->schema == 2);
+  newer.AddElement<std::uint8_t>(wire::ViewMessage::VT_KIND, 1, 0);
+  newer.AddElement<std::uint64_t>(wire::ViewMessage::VT_INCARNATION, 12, 0);
+  newer.AddOffset(wire::ViewMessage::VT_ADDRESS, address);
+  newer.AddElement<std::uint8_t>(wire::ViewMessage::VT_SCHEMA, 2, 1);
+  newer.AddOffset(wire::ViewMessage::VT_UPDATES + 2, unknown);
+  newer.AddElement<std::uint64_t>(wire::ViewMessage::VT_UPDATES + 4, 77, 0);
+  newer.Finish(flatbuffers::Offset<wire::ViewMessage>(newer.EndTable(begun)));
+  auto message = decode({reinterpret_cast<const char*>(newer.GetBufferPointer()), newer.GetSize()});
+  REQUIRE(message);
+  CHECK(message->incarnation == 12);
+  CHECK(message->schema == 2);
 
   flatbuffers::FlatBufferBuilder older;  // kind and address alone
   address = older.CreateString("10.0.0.9:1");
   begun = older.StartTable();
-  older.AddElement<std::uint8_t>(wire::Said::VT_KIND, 1, 0);
-  older.AddOffset(wire::Said::VT_ADDRESS, address);
-  older.Finish(flatbuffers::Offset<wire::Said>(older.EndTable(begun)));
-  said = decode({reinterpret_cast<const char*>(older.GetBufferPointer()), older.GetSize()});
-  REQUIRE(said);
-  CHECK(said->schema == 1);
-  CHECK(said->status == MemberStatus::alive);
-  CHECK(said->news.empty());
+  older.AddElement<std::uint8_t>(wire::ViewMessage::VT_KIND, 1, 0);
+  older.AddOffset(wire::ViewMessage::VT_ADDRESS, address);
+  older.Finish(flatbuffers::Offset<wire::ViewMessage>(older.EndTable(begun)));
+  message = decode({reinterpret_cast<const char*>(older.GetBufferPointer()), older.GetSize()});
+  REQUIRE(message);
+  CHECK(message->schema == 1);
+  CHECK(message->status == MemberStatus::alive);
+  CHECK(message->updates.empty());
   Network net(1);  // and a member that speaks so is answered
   auto all = fleet(net, 3, 0);
   net.run(3 * kSecond);
@@ -132,8 +132,8 @@
   const std::uint64_t digest = net[0].view->digest(), generation = net[0].view->generation();
   EnvelopeSealer sealer("tartu", {std::string(32, 'k')});
   std::mt19937_64 random(24);
-  Said said = sample();
-  const std::string body = encode(said), sealed = sealer.seal({1, "boris", 1, 0, Component::view, body});
+  ViewMessage message = sample();
+  const std::string body = encode(message), sealed = sealer.seal({1, "boris", 1, 0, Component::view, body});
   std::size_t opened = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string bad = sealed;
@@ -193,11 +193,12 @@
   std::mt19937_64 random(25);
   std::vector<std::string> bodies;
   for (int kind = 1; kind <= 8; ++kind) {
-    Said said = sample();
-    said.kind = static_cast<Kind>(kind);
-    said.target = kind == 3 ? "boris" : "";
-    said.news.push_back({"balancer-0", net[0].address, 5'000'000'000, MemberStatus::suspect, 1, {"x"}, 0});
-    bodies.push_back(encode(said));
+    ViewMessage message = sample();
+    message.kind = static_cast<MessageKind>(kind);
+    message.target = kind == 3 ? "boris" : "";
+    message.updates.push_back(
+        {"balancer-0", net[0].address, 5'000'000'000, MemberStatus::suspect, 1, {"x"}, 0});
+    bodies.push_back(encode(message));
   }
   std::size_t read = 0;
   for (int round = 0; round < 30000; ++round) {
--- a/tests/fleet/view/random_test.cpp
+++ b/tests/fleet/view/random_test.cpp
@@ -96,13 +96,13 @@
   auto first = gossip.take(40, 1000, "m39");
   REQUIRE(first.size() > 5);
   CHECK(first[0].name == "m38");  // m39 is the newest, and the addressee
-  for (const auto& news : first) ++told[news.name];
+  for (const auto& update : first) ++told[update.name];
   auto second = gossip.take(40, 1000, "");
   CHECK(second[0].name == "m39");
-  for (const auto& news : second) CHECK(told.count(news.name) == 0);
-  for (const auto& news : second) ++told[news.name];
+  for (const auto& update : second) CHECK(told.count(update.name) == 0);
+  for (const auto& update : second) ++told[update.name];
   while (gossip.size())
-    for (const auto& news : gossip.take(40, 1000, "")) ++told[news.name];
+    for (const auto& update : gossip.take(40, 1000, "")) ++told[update.name];
   for (const auto& [name, times] : told) CHECK(times == view::Gossip::most_times(40));
   CHECK(view::Gossip::most_times(40) == 6);
 }
