--- a/fuzz/fleet_fuzz.cpp
+++ b/fuzz/fleet_fuzz.cpp
@@ -3,7 +3,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  marblehub::fleet::reading::read_each(bytes.substr(size > 0));  // the first octet is for whole nodes
-  marblehub::fleet::reading::hear_each(bytes);
+  marblehub::fleet::fuzzing::try_all_decoders(bytes.substr(size > 0));  // the first octet is for whole nodes
+  marblehub::fleet::fuzzing::deliver_to_node(bytes);
   return 0;
 }
--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -16,16 +16,16 @@
 #include "fleet/view/message.h"
 #include "fleet/wire/envelope.h"
 
-namespace marblehub::fleet::reading {
+namespace marblehub::fleet::fuzzing {
 
 inline const std::string kKey(32, 'k');
 constexpr Time kStart = 1'800'000'000 * kSecond;
 
-inline void demand(bool holds) {
+inline void require(bool holds) {
   if (!holds) std::abort();
 }
 
-inline std::string with_code(std::string_view octets) {
+inline std::string with_hmac(std::string_view octets) {
   const auto length = static_cast<std::uint32_t>(octets.size());
   std::string inside(reinterpret_cast<const char*>(&length), sizeof length);
   inside += octets;
@@ -36,12 +36,12 @@
   return std::string(reinterpret_cast<const char*>(code), size) + inside;
 }
 
-inline std::string with_hash(std::string_view octets) {
+inline std::string with_checksum(std::string_view octets) {
   const std::uint64_t hash = hash_of(octets);
   return std::string(octets).append(reinterpret_cast<const char*>(&hash), sizeof hash);
 }
 
-inline bool whole(const Ledger& ledger) {
+inline bool is_consistent(const Ledger& ledger) {
   for (const auto& [name, wallet] : ledger.wallets) {
     std::int64_t out = 0;
     for (const auto& [id, slice] : wallet.out) out += slice.amount;
@@ -57,7 +57,7 @@
     Ledger l;
     l.voters = {"alva", "boris", "celia"};
     auto say = [&](Body body) {
-      demand(apply(l, l.applied + 1, {{"boris", 1, l.applied + 1}, std::move(body)}).empty());
+      require(apply(l, l.applied + 1, {{"boris", 1, l.applied + 1}, std::move(body)}).empty());
     };
     say(Deposit{"acme", "d1", 1000});
     say(TakeSlice{"acme", "s1", "boris", 1, 10, kStart});
@@ -73,56 +73,56 @@
   turn.id = {"boris", 1, some.applied + 1};
   for (const Command& each : {command, turn}) {
     apply(ledger, ledger.applied + 1, each);
-    demand(whole(ledger));
+    require(is_consistent(ledger));
   }
 }
 
 // True: something was read that verified.
-inline bool read_each(std::string_view bytes) {
+inline bool try_all_decoders(std::string_view bytes) {
   static const EnvelopeSealer sealer("tartu", {kKey});
   bool read = false;
   for (Transport transport : {Transport::datagram, Transport::stream})
-    for (const std::string& octets : {std::string(bytes), with_code(bytes)}) {
+    for (const std::string& octets : {std::string(bytes), with_hmac(bytes)}) {
       DropReason why{};
       const auto envelope = sealer.open(octets, why, transport);
       if (!envelope) continue;
       read = true;
-      demand(octets.size() <=
-             (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes));
-      demand(!envelope->sender.empty() && envelope->sender.size() <= kMaxNameBytes);
+      require(octets.size() <=
+              (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes));
+      require(!envelope->sender.empty() && envelope->sender.size() <= kMaxNameBytes);
       const auto again = sealer.open(sealer.seal(*envelope), why);
-      demand(again ? again->body == envelope->body && again->sender == envelope->sender
-                   : why == DropReason::too_long);
+      require(again ? again->body == envelope->body && again->sender == envelope->sender
+                    : why == DropReason::too_long);
     }
   if (const auto message = view::decode(bytes)) {
     read = true;
     const std::string octets = view::encode(*message);
     const auto again = view::decode(octets);
-    demand(again ? view::encode(*again) == octets : octets.size() > (1 << 20));
+    require(again ? view::encode(*again) == octets : octets.size() > (1 << 20));
   }
-  for (const std::string& octets : {std::string(bytes), with_hash(bytes)}) {
+  for (const std::string& octets : {std::string(bytes), with_checksum(bytes)}) {
     Message message;
     read |= unsealed(octets, message);
     Command command, command_again;
     if (decode(octets, command)) {
       read = true;
-      demand(decode(encode(command), command_again) && encode(command_again) == encode(command));
+      require(decode(encode(command), command_again) && encode(command_again) == encode(command));
       apply_to_some(command);
     }
     Ledger ledger, ledger_again;
     if (decode(octets, ledger)) {
       read = true;
-      demand(decode(encode(ledger), ledger_again) && digest(ledger_again) == digest(ledger));
+      require(decode(encode(ledger), ledger_again) && digest(ledger_again) == digest(ledger));
     }
   }
   return read;
 }
 
-enum class Part_in { leader, follower, learner, without_disk };  // the last two do not vote
+enum class NodeRole { leader, follower, learner, without_disk };  // the last two do not vote
 
 // A node that hears `boris`, brought by his true words to where it leads, follows or learns.
-struct Hearer {
-  explicit Hearer(Part_in part) {
+struct FuzzedNode {
+  explicit FuzzedNode(NodeRole role) {
     Settings s;
     s.enabled = true;
     s.fleet = "tartu";
@@ -130,30 +130,30 @@
     s.listen = s.advertise = "10.0.0.1:7000";
     s.seeds = {"10.0.0.2:7000"};
     s.voters = {"boris"};
-    if (part < Part_in::learner) s.voters = {"alva", "boris", "celia"};
+    if (role < NodeRole::learner) s.voters = {"alva", "boris", "celia"};
     s.routes_file = "routes.json", s.wallet_file = "wallet.json";
     NodeParts parts;
     parts.settings = s;
     parts.calls = {{"ride"}, {}};
     parts.wallet = WalletSettings{};
     parts.wallet->deposits["acme"]["d1"] = 100;
-    if (part != Part_in::without_disk) parts.disk = &disk;
+    if (role != NodeRole::without_disk) parts.disk = &disk;
     parts.first_fleet = true;
     node = std::make_unique<Node>(std::move(parts), now);
-    if (part == Part_in::leader) {
+    if (role == NodeRole::leader) {
       for (int turn = 0; turn < 400 && node->record().ledger().applied < 2; ++turn) step(true);
-      demand(node->record().role() == Role::leader && node->record().ledger().applied >= 2);
+      require(node->record().role() == Role::leader && node->record().ledger().applied >= 2);
     } else {
       step(false);
       Message first;
-      first.kind = part == Part_in::follower ? kAppend : kLearnt;
+      first.kind = role == NodeRole::follower ? kAppend : kLearnt;
       first.term = first.commit = first.total = 1;
       first.beat = now;
       first.leader = "boris";
       auto& entry = *first.entries.emplace_back(std::make_unique<fb::EntryT>());
       entry.index = entry.term = 1;
-      hear("boris", Component::record, sealed(first), Transport::stream);
-      demand(node->record().ledger().applied == 1);
+      deliver("boris", Component::record, sealed(first), Transport::stream);
+      require(node->record().ledger().applied == 1);
     }
   }
   // Boris votes for it and takes what it appends, where he is asked to.
@@ -175,10 +175,10 @@
         node->received(now, "boris", Component::record, sealed(answer), Transport::stream, out);
     }
   }
-  void hear(const std::string& from, Component component, std::string_view body, Transport transport) {
+  void deliver(const std::string& from, Component component, std::string_view body, Transport transport) {
     Outbox out;
     node->received(now, from, component, body, transport, out);
-    for (const Outgoing& each : out) demand(each.body.size() <= (1 << 20));
+    for (const Outgoing& each : out) require(each.body.size() <= (1 << 20));
   }
   MemoryDisk disk;
   Time now = kStart;
@@ -186,20 +186,20 @@
 };
 
 // One octet that says who hears it and how, the rest is the body; twice, as repeated, and time passes.
-inline void hear_each(std::string_view bytes) {
+inline void deliver_to_node(std::string_view bytes) {
   if (bytes.empty()) return;
   const auto how = static_cast<unsigned char>(bytes[0]);
-  const std::string body = how & 4 ? with_hash(bytes.substr(1)) : std::string(bytes.substr(1));
-  Hearer hearer(static_cast<Part_in>(how % 4 % 3));
+  const std::string body = how & 4 ? with_checksum(bytes.substr(1)) : std::string(bytes.substr(1));
+  FuzzedNode fuzzed(static_cast<NodeRole>(how % 4 % 3));
   check::on_violation = [](const char*, const std::string&) {};
   for (int times = 0; times < 2; ++times)
-    hearer.hear(how & 32 ? "stranger" : "boris", how & 8 ? Component::view : Component::record, body,
-                how & 16 ? Transport::datagram : Transport::stream);
-  for (int turn = 0; turn < 8; ++turn) hearer.step(true);
-  hearer.node->routes()->route(hearer.now, "ride", "acme", "7");
+    fuzzed.deliver(how & 32 ? "stranger" : "boris", how & 8 ? Component::view : Component::record, body,
+                   how & 16 ? Transport::datagram : Transport::stream);
+  for (int turn = 0; turn < 8; ++turn) fuzzed.step(true);
+  fuzzed.node->routes()->route(fuzzed.now, "ride", "acme", "7");
   Reservation reservation;
-  hearer.node->wallets()->reserve(hearer.now, "acme", "ride", reservation);
+  fuzzed.node->wallets()->reserve(fuzzed.now, "acme", "ride", reservation);
   check::on_violation = nullptr;
 }
 
-}  // namespace marblehub::fleet::reading
+}  // namespace marblehub::fleet::fuzzing
--- a/tests/fleet/random/changer.h
+++ b/tests/fleet/random/changer.h
@@ -5,7 +5,7 @@
 #include <random>
 #include <string>
 
-namespace marblehub::fleet::reading {
+namespace marblehub::fleet::fuzzing {
 
 struct Changer {
   std::mt19937_64 random;
@@ -41,4 +41,4 @@
   }
 };
 
-}  // namespace marblehub::fleet::reading
+}  // namespace marblehub::fleet::fuzzing
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -6,7 +6,7 @@
 #include "../../../fuzz/fleet_readers.h"
 #include "changer.h"
 
-namespace marblehub::fleet::reading {
+namespace marblehub::fleet::fuzzing {
 namespace {
 
 std::vector<std::string> commands() {
@@ -99,7 +99,7 @@
   const std::string envelope =
       EnvelopeSealer("tartu", {kKey}).seal({1, "boris", 1, kStart, Component::view, of_view().front()});
   seeds.push_back(envelope.substr(36));  // without code and length: they are put there anew
-  for (const std::string& seed : seeds) REQUIRE(read_each(seed));  // the seeds are what they are to be
+  for (const std::string& seed : seeds) REQUIRE(try_all_decoders(seed));  // the seeds are what they are to be
   Changer changer{std::mt19937_64(20261203)};
   std::size_t read = 0;
   constexpr int kRounds = 100'000;
@@ -107,7 +107,7 @@
     std::string bytes = seeds[changer.below(seeds.size())];
     changer.change(bytes);
     const std::vector<char> exact(bytes.begin(), bytes.end());  // one octet too far is seen
-    read += read_each({exact.data(), exact.size()});
+    read += try_all_decoders({exact.data(), exact.size()});
   }
   CHECK(read > kRounds / 10);  // not all were turned away at the first look
 }
@@ -122,44 +122,44 @@
   if (const char* folder = std::getenv("MARBLEHUB_FUZZ_SEEDS"))
     for (std::size_t i = 0; i < inputs.size(); ++i)
       std::ofstream(std::string(folder) + "/" + std::to_string(i), std::ios::binary) << inputs[i];
-  for (const std::string& input : inputs) hear_each(input);
+  for (const std::string& input : inputs) deliver_to_node(input);
   Changer changer{std::mt19937_64(20261204)};
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes = inputs[changer.below(inputs.size())];
     std::string body = bytes.substr(1);
     changer.change(body);
-    hear_each(bytes[0] + body);
+    deliver_to_node(bytes[0] + body);
   }
   SUCCEED("no node went past its memory or its bounds");
 }
 
 // What is no command was once taken for a fault of the disk, also where there is none to ask again.
 TEST_CASE("who has no disk stands an append whose entry is no command", "[mutation]") {
-  Hearer hearer(Part_in::without_disk);
+  FuzzedNode fuzzed(NodeRole::without_disk);
   Message append;
   append.kind = kAppend;
   append.term = append.index = append.index_term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = 2, entry.term = 1, entry.command = "of a later program";
-  hearer.hear("boris", Component::record, sealed(append), Transport::stream);
-  for (int turn = 0; turn < 8; ++turn) hearer.step(false);
-  CHECK(hearer.node->record().ledger().applied == 1);
+  fuzzed.deliver("boris", Component::record, sealed(append), Transport::stream);
+  for (int turn = 0; turn < 8; ++turn) fuzzed.step(false);
+  CHECK(fuzzed.node->record().ledger().applied == 1);
 }
 
 TEST_CASE("without a right hash nothing of a record's message is believed", "[mutation]") {
   Changer changer{std::mt19937_64(20261205)};
   const std::vector<std::string> seeds = of_record();
-  for (Part_in part : {Part_in::leader, Part_in::follower, Part_in::learner}) {
-    Hearer hearer(part);
-    Record& record = hearer.node->record();
+  for (NodeRole part : {NodeRole::leader, NodeRole::follower, NodeRole::learner}) {
+    FuzzedNode fuzzed(part);
+    Record& record = fuzzed.node->record();
     const std::uint64_t before = digest(record.ledger()), term = record.term();
     const Role role = record.role();
     for (int i = 0; i < 5000; ++i) {
       const std::string body = seeds[changer.below(seeds.size())];
-      std::string cut = with_hash(body);
+      std::string cut = with_checksum(body);
       changer.change(cut);
-      if (cut == with_hash(body)) continue;
-      hearer.hear("boris", Component::record, cut, Transport::stream);
+      if (cut == with_checksum(body)) continue;
+      fuzzed.deliver("boris", Component::record, cut, Transport::stream);
     }
     CHECK(digest(record.ledger()) == before);
     CHECK(record.term() == term);
@@ -167,4 +167,4 @@
   }
 }
 
-}  // namespace marblehub::fleet::reading
+}  // namespace marblehub::fleet::fuzzing
--- a/tests/fleet/random/rules_test.cpp
+++ b/tests/fleet/random/rules_test.cpp
@@ -7,7 +7,7 @@
 namespace marblehub::fleet {
 namespace {
 
-using reading::kStart;
+using fuzzing::kStart;
 constexpr Time kElectionTimeout =
     300 * kMillisecond;  // half a lease, which is more than three bounds of the clock
 
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -10,7 +10,7 @@
 #include "fleet/view/message.h"
 #include "support/sockets.h"
 
-namespace marblehub::fleet::reading {
+namespace marblehub::fleet::fuzzing {
 namespace {
 
 const std::string kKey(32, 'k');
@@ -138,4 +138,4 @@
   ::close(udp);
 }
 
-}  // namespace marblehub::fleet::reading
+}  // namespace marblehub::fleet::fuzzing
