--- a/src/fleet/time.h
+++ b/src/fleet/time.h
@@ -1,5 +1,6 @@
-// What every part of the fleet reckons with. All machines here are free of I/O, clock and chance: time, seeds
-// and what arrived are handed in, what is to be sent is handed out.
+/// Types that all components of the fleet share. The state machines of the components perform no I/O, read no
+/// clock and draw no entropy: time, seeds and received messages are passed in, outgoing messages are
+/// returned.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +11,26 @@
 
 namespace marblehub::fleet {
 
-using marblehub::policy::Time;  // microseconds of the fleet's clock: the system's time at start, carried on
-                                // steadily
+/// Microseconds of the fleet's clock: the system time at the start of the process, advanced monotonically.
+using marblehub::policy::Time;
 
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 
-// Something to hand to another member. `part` is whose message it is; bodies are made and read by that part.
+/// The component that a message belongs to; only that component encodes and decodes the body. The numbers are
+/// part of the wire format.
 enum class Component : std::uint8_t { view = 1, record = 2, wallet = 3 };
-enum class Transport : std::uint8_t { datagram, stream };  // a stream is opened for it where none stands
+/// How a message is sent. A stream is opened if there is no established one to the member.
+enum class Transport : std::uint8_t { datagram, stream };
 
+/// A message to be sent to another member.
 struct Outgoing {
-  std::string to;  // a member's name; for a seed not yet met, "@" and its address
+  std::string to;  ///< the name of a member, or "@" and the address of a seed whose name is not known yet
   Component component = Component::view;
   Transport transport = Transport::datagram;
-  std::string body;  // at most 1,200 octets on a datagram, 1 MiB on a stream
+  std::string body;  ///< at most 1,200 bytes for a datagram, 1 MiB for a stream
 };
 
+/// The messages that one step of a state machine produced, in the order in which they are sent.
 using Outbox = std::vector<Outgoing>;
 
 }  // namespace marblehub::fleet
