--- a/src/fleet/wire/envelope.cpp
+++ b/src/fleet/wire/envelope.cpp
@@ -13,17 +13,18 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr std::size_t kCode = 32;
-using Code = std::array<unsigned char, kCode>;
+constexpr std::size_t kMacBytes = 32;
+using Mac = std::array<unsigned char, kMacBytes>;
 
-Code code_of(const std::string& key, std::string_view octets) {
-  Code code{};
+/// HMAC-SHA-256 of `bytes`.
+Mac mac_of(const std::string& key, std::string_view bytes) {
+  Mac mac{};
   unsigned length = 0;
   if (!HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
-            reinterpret_cast<const unsigned char*>(octets.data()), octets.size(), code.data(), &length) ||
-      length != kCode)
+            reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), mac.data(), &length) ||
+      length != kMacBytes)
     throw std::runtime_error("HMAC-SHA-256 is not available from OpenSSL");
-  return code;
+  return mac;
 }
 
 bool component_known(std::uint8_t component) {
@@ -35,7 +36,7 @@
 
 EnvelopeSealer::EnvelopeSealer(std::string fleet, std::vector<std::string> keys)
     : fleet_(std::move(fleet)), keys_(std::move(keys)) {
-  if (keys_.empty()) throw std::invalid_argument("a seal needs a key");
+  if (keys_.empty()) throw std::invalid_argument("EnvelopeSealer: expected at least one key");
 }
 
 std::string EnvelopeSealer::seal(const Envelope& envelope) const {
@@ -47,34 +48,34 @@
   builder.FinishSizePrefixed(wire::CreateSealed(builder, envelope.schema, fleet, sender, envelope.incarnation,
                                                 envelope.sent_at,
                                                 static_cast<std::uint8_t>(envelope.component), body));
-  std::string_view octets(reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize());
-  Code code = code_of(keys_.front(), octets);
-  std::string sealed(code.begin(), code.end());
-  return sealed.append(octets);
+  std::string_view bytes(reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize());
+  Mac mac = mac_of(keys_.front(), bytes);
+  std::string sealed(mac.begin(), mac.end());
+  return sealed.append(bytes);
 }
 
-std::optional<Envelope> EnvelopeSealer::open(std::string_view octets, DropReason& why,
+std::optional<Envelope> EnvelopeSealer::open(std::string_view bytes, DropReason& why,
                                              Transport transport) const {
   auto drop = [&](DropReason reason) {
     why = reason;
     return std::nullopt;
   };
-  if (octets.size() > (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes))
+  if (bytes.size() > (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes))
     return drop(DropReason::too_long);
-  if (octets.size() < kCode + sizeof(flatbuffers::uoffset_t)) return drop(DropReason::malformed);
-  std::string_view inside = octets.substr(kCode);
-  auto length = flatbuffers::ReadScalar<flatbuffers::uoffset_t>(inside.data());
-  if (length != inside.size() - sizeof(length)) return drop(DropReason::malformed);
+  if (bytes.size() < kMacBytes + sizeof(flatbuffers::uoffset_t)) return drop(DropReason::malformed);
+  std::string_view content = bytes.substr(kMacBytes);
+  auto length = flatbuffers::ReadScalar<flatbuffers::uoffset_t>(content.data());
+  if (length != content.size() - sizeof(length)) return drop(DropReason::malformed);
 
-  bool ours = false;  // every key is tried, so that the time taken does not tell which one fits
+  bool authentic = false;  // every key is tried, so that the duration does not reveal which one matches
   for (const std::string& key : keys_) {
-    Code code = code_of(key, inside);
-    ours |= CRYPTO_memcmp(code.data(), octets.data(), kCode) == 0;
+    Mac mac = mac_of(key, content);
+    authentic |= CRYPTO_memcmp(mac.data(), bytes.data(), kMacBytes) == 0;
   }
-  if (!ours) return drop(DropReason::forged);
+  if (!authentic) return drop(DropReason::forged);
 
-  // flatbuffers reads in place and wants its own alignment: a copy has it.
-  std::string copy(inside);
+  // FlatBuffers reads in place and needs an aligned buffer, which the copy provides.
+  std::string copy(content);
   const auto* data = reinterpret_cast<const std::uint8_t*>(copy.data());
   flatbuffers::Verifier verifier(data, copy.size());
   if (!wire::VerifySizePrefixedSealedBuffer(verifier)) return drop(DropReason::malformed);
--- a/src/fleet/wire/keys.cpp
+++ b/src/fleet/wire/keys.cpp
@@ -11,17 +11,20 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr std::size_t kLeastKey = 32, kMostKey = 1024, kMostKeys = 2, kLongestFile = 8192;
+constexpr std::size_t kMinKeyBytes = 32, kMaxKeyBytes = 1024, kMaxKeys = 2, kMaxFileBytes = 8192;
 
-int digit(char c) {
+/// The value of a hex digit; -1 for any other character.
+int hex_digit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
   if (c >= 'A' && c <= 'F') return c - 'A' + 10;
   return -1;
 }
 
-// The file's text. Its rights are asked of the open file, not of its name: that may change in between.
-std::string text_of(const std::string& path) {
+/// Reads a file that only its owner may access. The permissions are checked on the open file, because the
+/// path may be replaced in between.
+std::string read_private_file(const std::string& path) {
+  /// Closes the file descriptor.
   struct File {
     int handle;
     ~File() {
@@ -31,16 +34,16 @@
   auto refuse = [&](const std::string& what) { throw config::DecodeError(path + ": key file: " + what); };
   struct stat state {};
   if (file.handle < 0 || ::fstat(file.handle, &state) != 0) refuse(std::strerror(errno));
-  if (!S_ISREG(state.st_mode)) refuse("expected a plain file");
+  if (!S_ISREG(state.st_mode)) refuse("expected a regular file");
   if (state.st_mode & (S_IRWXG | S_IRWXO))
-    refuse("others than its owner may read or write it; expected mode 0600 or 0400");
+    refuse("accessible by others than its owner; expected mode 0600 or 0400");
   std::string text;
-  char part[1024];
-  for (ssize_t got; (got = ::read(file.handle, part, sizeof part)) != 0;) {
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) refuse(std::strerror(errno));
-    text.append(part, static_cast<std::size_t>(got));
-    if (text.size() > kLongestFile) refuse("longer than " + std::to_string(kLongestFile) + " octets");
+  char chunk[1024];
+  for (ssize_t received; (received = ::read(file.handle, chunk, sizeof chunk)) != 0;) {
+    if (received < 0 && errno == EINTR) continue;
+    if (received < 0) refuse(std::strerror(errno));
+    text.append(chunk, static_cast<std::size_t>(received));
+    if (text.size() > kMaxFileBytes) refuse("longer than " + std::to_string(kMaxFileBytes) + " bytes");
   }
   return text;
 }
@@ -48,33 +51,34 @@
 }  // namespace
 
 std::vector<std::string> read_key_file(const std::string& path) {
-  std::string text = text_of(path);
+  std::string text = read_private_file(path);
   std::vector<std::string> keys;
-  std::size_t number = 0;
-  for (std::size_t at = 0; at < text.size();) {
-    std::size_t end = std::min(text.find('\n', at), text.size());
-    std::string_view line = std::string_view(text).substr(at, end - at);
-    at = end + 1;
-    ++number;
+  std::size_t line_number = 0;
+  for (std::size_t position = 0; position < text.size();) {
+    std::size_t end = std::min(text.find('\n', position), text.size());
+    std::string_view line = std::string_view(text).substr(position, end - position);
+    position = end + 1;
+    ++line_number;
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     if (line.empty()) continue;
-    auto refuse = [&](const std::string& what) {  // never with the line itself: it is a secret
+    auto refuse = [&](const std::string& what) {  // the line is a secret and must not appear in the message
       throw config::DecodeError(
-          std::string(path).append(":").append(std::to_string(number)).append(": key: ") + what);
+          std::string(path).append(":").append(std::to_string(line_number)).append(": key: ") + what);
     };
-    if (keys.size() == kMostKeys) refuse("expected at most two keys, the new and the old");
+    if (keys.size() == kMaxKeys) refuse("expected at most two keys, the new and the old");
     std::string key;
     for (std::size_t i = 0; i < line.size(); ++i)
-      if (digit(line[i]) < 0) refuse("expected hex digits alone, column " + std::to_string(i + 1));
+      if (hex_digit(line[i]) < 0) refuse("expected only hex digits, column " + std::to_string(i + 1));
     if (line.size() % 2) refuse("expected an even number of hex digits");
     for (std::size_t i = 0; i < line.size(); i += 2)
-      key += static_cast<char>(digit(line[i]) * 16 + digit(line[i + 1]));
-    if (key.size() < kLeastKey || key.size() > kMostKey)
-      refuse("expected 32 octets or more (64 hex digits), got " + std::to_string(key.size()));
+      key += static_cast<char>(hex_digit(line[i]) * 16 + hex_digit(line[i + 1]));
+    if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes)
+      refuse("expected 32 bytes or more (64 hex digits), got " + std::to_string(key.size()));
     if (!keys.empty() && keys.front() == key) refuse("the same key twice");
     keys.push_back(std::move(key));
   }
-  if (keys.empty()) throw config::DecodeError(path + ": key file: expected a line of hex, it is empty");
+  if (keys.empty())
+    throw config::DecodeError(path + ": key file: expected a line of hex digits, but it is empty");
   return keys;
 }
 
--- a/tests/fleet/processes/settings_test.cpp
+++ b/tests/fleet/processes/settings_test.cpp
@@ -125,7 +125,7 @@
       {"key_file", {{"key_file", nullptr}}, "the file of the fleet's key"},
       {"key_file", {{"key_file", folder.path + "/absent"}}, "No such file"},
       {"key_file", {{"key_file", open_key}}, "others than its owner"},
-      {"key_file", {{"key_file", short_key}}, "32 octets or more"},
+      {"key_file", {{"key_file", short_key}}, "32 bytes or more"},
       {"key_file", {{"key_file", no_hex}}, "hex digits"},
       {"key_file", {{"key_file", three}}, "at most two keys"},
       {"key_file", {{"key_file", none}}, "it is empty"},
--- a/tests/fleet/wire/wire_test.cpp
+++ b/tests/fleet/wire/wire_test.cpp
@@ -1,5 +1,5 @@
-// The envelope: what is ours opens, whatever a stranger does to it does not; the key file refuses with a
-// place.
+// The envelope and the key file: only unmodified messages of the fleet open, and a refused key file is
+// reported with its line.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-const std::string kOld(32, 'o'), kNew(32, 'n');
+const std::string kOldKey(32, 'o'), kNewKey(32, 'n');
 
-Envelope sample(std::string body = "what one part says") {
+Envelope sample(std::string body = "the body of a message") {
   Envelope e;
   e.sender = "alva";
   e.incarnation = 7;
@@ -27,13 +27,15 @@
   return e;
 }
 
-std::optional<DropReason> refusal(const EnvelopeSealer& sealer, std::string_view octets,
+/// Why `sealer` drops the message; nothing where it opens it.
+std::optional<DropReason> refusal(const EnvelopeSealer& sealer, std::string_view bytes,
                                   Transport transport = Transport::stream) {
   DropReason why{};
-  if (sealer.open(octets, why, transport)) return std::nullopt;
+  if (sealer.open(bytes, why, transport)) return std::nullopt;
   return why;
 }
 
+/// A temporary key file with the given content and mode, removed at the end.
 struct KeyFile {
   std::string path;
   explicit KeyFile(const std::string& text, mode_t mode = 0600) {
@@ -45,12 +47,14 @@
     chmod(path.c_str(), mode);
   }
   ~KeyFile() { unlink(path.c_str()); }
+  /// The error without the path; empty where the file is accepted.
   std::string refused() const {
     try {
       read_key_file(path);
     } catch (const marblehub::config::DecodeError& e) {
       std::string what = e.what();
-      return what.substr(0, path.size()) == path ? what.substr(path.size()) : "no path: " + what;
+      return what.substr(0, path.size()) == path ? what.substr(path.size())
+                                                 : "error without the path: " + what;
     }
     return "";
   }
@@ -58,8 +62,8 @@
 
 }  // namespace
 
-TEST_CASE("an envelope comes out as it went in") {
-  EnvelopeSealer sealer("tartu", {kNew});
+TEST_CASE("an opened envelope equals the one that was sealed") {
+  EnvelopeSealer sealer("tartu", {kNewKey});
   for (std::size_t size : {0, 1, 1200, 1 << 20}) {
     Envelope in = sample(std::string(size, '\x81'));
     DropReason why{};
@@ -74,16 +78,16 @@
   }
 }
 
-TEST_CASE("a key is changed while the fleet runs") {
-  EnvelopeSealer before("tartu", {kOld}), during("tartu", {kNew, kOld}), after("tartu", {kNew});
+TEST_CASE("a key can be rotated while the fleet runs") {
+  EnvelopeSealer before("tartu", {kOldKey}), during("tartu", {kNewKey, kOldKey}), after("tartu", {kNewKey});
   CHECK_FALSE(refusal(during, before.seal(sample())));
   CHECK_FALSE(refusal(after, during.seal(sample())));
   CHECK(refusal(before, after.seal(sample())) == DropReason::forged);
   CHECK(refusal(after, before.seal(sample())) == DropReason::forged);
 }
 
-TEST_CASE("each refusal says which") {
-  EnvelopeSealer sealer("tartu", {kNew}), other("narva", {kNew});
+TEST_CASE("each dropped message has the reason of its defect") {
+  EnvelopeSealer sealer("tartu", {kNewKey}), other("narva", {kNewKey});
   CHECK(refusal(sealer, other.seal(sample())) == DropReason::other_fleet);
   CHECK(refusal(sealer, "") == DropReason::malformed);
   CHECK(refusal(sealer, std::string(35, 'x')) == DropReason::malformed);
@@ -94,16 +98,16 @@
   Envelope newer = sample();
   newer.schema = kNewestSchema + 1;
   CHECK(refusal(sealer, sealer.seal(newer)) == DropReason::schema);
-  Envelope elsewhere = sample();
-  elsewhere.component = static_cast<Component>(99);
-  CHECK(refusal(sealer, sealer.seal(elsewhere)) == DropReason::schema);
-  Envelope nobody = sample();
-  nobody.sender.clear();
-  CHECK(refusal(sealer, sealer.seal(nobody)) == DropReason::malformed);
+  Envelope unknown = sample();
+  unknown.component = static_cast<Component>(99);
+  CHECK(refusal(sealer, sealer.seal(unknown)) == DropReason::schema);
+  Envelope unnamed = sample();
+  unnamed.sender.clear();
+  CHECK(refusal(sealer, sealer.seal(unnamed)) == DropReason::malformed);
 }
 
-TEST_CASE("no change of an octet, no cut and no addition opens") {
-  EnvelopeSealer sealer("tartu", {kNew, kOld});
+TEST_CASE("a message with a flipped bit, a missing or an additional byte does not open") {
+  EnvelopeSealer sealer("tartu", {kNewKey, kOldKey});
   std::string good = sealer.seal(sample());
   for (std::size_t i = 0; i < good.size(); ++i)
     for (int bit = 0; bit < 8; ++bit) {
@@ -116,13 +120,13 @@
   CHECK(refusal(sealer, good + "x") == DropReason::malformed);
   std::mt19937_64 random(24);
   for (int round = 0; round < 2000; ++round) {
-    std::string noise(random() % (round % 100 ? 2000 : 65536), '\0');
-    for (char& c : noise) c = static_cast<char>(random());
-    REQUIRE(refusal(sealer, noise));
+    std::string random_bytes(random() % (round % 100 ? 2000 : 65536), '\0');
+    for (char& c : random_bytes) c = static_cast<char>(random());
+    REQUIRE(refusal(sealer, random_bytes));
   }
 }
 
-TEST_CASE("what was said long ago, or by a process that is no more, is stale") {
+TEST_CASE("old messages and messages of an earlier process are stale") {
   ReplayFilter filter(10 * kSecond);
   Envelope e = sample();
   Time now = e.sent_at;
@@ -130,7 +134,8 @@
   CHECK(filter.accept(now + 9 * kSecond, e));
   CHECK_FALSE(filter.accept(now + 11 * kSecond, e));
   CHECK_FALSE(filter.accept(now - 11 * kSecond, e));
-  e.incarnation = 8;  // a new process: the old one is heard a little longer, to settle twins
+  e.incarnation =
+      8;  // a new process: messages of the old one pass a little longer, to resolve a name conflict
   e.sent_at = now + 20 * kSecond;
   CHECK(filter.accept(e.sent_at, e));
   Envelope old = e;
@@ -142,7 +147,7 @@
   CHECK_FALSE(filter.accept(now, old));
 }
 
-TEST_CASE("the key file") {
+TEST_CASE("a key file has one or two private, well-formed keys") {
   const std::string good(64, 'a'), second(66, 'B');
   KeyFile two(good + "\n\n" + second + "\r\n");
   auto keys = read_key_file(two.path);
@@ -154,9 +159,9 @@
   CHECK(KeyFile(good, 0640).refused().find("others than its owner") != std::string::npos);
   CHECK(KeyFile(good, 0604).refused().find("others than its owner") != std::string::npos);
   CHECK(KeyFile("").refused().find("it is empty") != std::string::npos);
-  CHECK(KeyFile(good + "\n" + std::string(62, 'a')).refused().find(":2: key: expected 32 octets") == 0);
+  CHECK(KeyFile(good + "\n" + std::string(62, 'a')).refused().find(":2: key: expected 32 bytes") == 0);
   CHECK(KeyFile(good + "a").refused().find(":1: key: expected an even number") == 0);
-  CHECK(KeyFile(good + "\nxy" + good).refused().find(":2: key: expected hex digits alone, column 1") == 0);
+  CHECK(KeyFile(good + "\nxy" + good).refused().find(":2: key: expected only hex digits, column 1") == 0);
   CHECK(KeyFile(good + "\n" + good).refused().find(":2: key: the same key twice") == 0);
   CHECK(KeyFile(good + "\n" + second + "\n" + std::string(64, 'c'))
             .refused()
