--- a/bench/fleet_view.cpp
+++ b/bench/fleet_view.cpp
@@ -43,7 +43,7 @@
 
   auto octets = [&] {
     std::uint64_t sum = 0;
-    for (std::size_t i : all) sum += net[i].octets;
+    for (std::size_t i : all) sum += net[i].bytes;
     return static_cast<double>(sum) / static_cast<double>(count);
   };
   // Standings change by generation: only then are members looked through, once for each that is given up.
--- a/src/fleet/view/gossip.cpp
+++ b/src/fleet/view/gossip.cpp
@@ -5,43 +5,48 @@
 namespace marblehub::fleet::view {
 
 void Gossip::add(MemberUpdate update) {
-  std::size_t octets = encoded_size(update);
+  std::size_t bytes = encoded_size(update);
   std::string name = update.name;
-  queue_.insert_or_assign(std::move(name), Told{std::move(update), 0, ++order_, octets});
+  queue_.insert_or_assign(std::move(name), QueuedUpdate{std::move(update), 0, ++order_, bytes});
 }
 
-std::vector<MemberUpdate> Gossip::take(std::size_t members, std::size_t octets, const std::string& except) {
-  constexpr std::size_t considered = 24;  // more than fit into a datagram
-  std::vector<std::map<std::string, Told>::iterator> next;
+std::vector<MemberUpdate> Gossip::take(std::size_t members, std::size_t bytes, const std::string& except) {
+  constexpr std::size_t kMaxConsidered = 24;  // more than fit into a datagram
+  std::vector<std::map<std::string, QueuedUpdate>::iterator> candidates;
   for (auto it = queue_.begin(); it != queue_.end(); ++it)
-    if (it->first != except) next.push_back(it);
+    if (it->first != except) candidates.push_back(it);
   auto before = [](const auto& a, const auto& b) {
-    return a->second.times != b->second.times ? a->second.times < b->second.times
-                                              : a->second.order > b->second.order;
+    return a->second.transmissions != b->second.transmissions
+               ? a->second.transmissions < b->second.transmissions
+               : a->second.order > b->second.order;
   };
-  std::partial_sort(next.begin(),
-                    next.begin() + static_cast<std::ptrdiff_t>(std::min(considered, next.size())), next.end(),
-                    before);
-  if (next.size() > considered) next.resize(considered);
+  std::partial_sort(
+      candidates.begin(),
+      candidates.begin() + static_cast<std::ptrdiff_t>(std::min(kMaxConsidered, candidates.size())),
+      candidates.end(), before);
+  if (candidates.size() > kMaxConsidered) candidates.resize(kMaxConsidered);
   std::vector<MemberUpdate> taken;
-  const int most = most_times(members);
-  for (auto it : next) {
-    if (it->second.octets > octets) continue;
-    octets -= it->second.octets;
+  const int limit = max_transmissions(members);
+  for (auto it : candidates) {
+    if (it->second.bytes > bytes) continue;
+    bytes -= it->second.bytes;
     taken.push_back(it->second.update);
-    if (++it->second.times >= most) queue_.erase(it);
+    if (++it->second.transmissions >= limit) queue_.erase(it);
   }
   return taken;
 }
 
-bool Gossip::fresh() const {
-  return std::any_of(queue_.begin(), queue_.end(), [](const auto& one) { return one.second.times < kFresh; });
+bool Gossip::has_fresh() const {
+  return std::any_of(queue_.begin(), queue_.end(),
+                     [](const auto& one) { return one.second.transmissions < kFreshTransmissions; });
 }
 
-bool Gossip::bounded(std::size_t members) const {
-  // The fleet may have shrunk since: what is over the bound now leaves the queue when it is next told.
-  return queue_.size() <= members &&
-         std::all_of(queue_.begin(), queue_.end(), [](const auto& one) { return one.second.times < 64; });
+bool Gossip::within_bounds(std::size_t members) const {
+  // max_transmissions may have shrunk with the fleet; updates above it leave the queue when they are next
+  // sent.
+  return queue_.size() <= members && std::all_of(queue_.begin(), queue_.end(), [](const auto& one) {
+           return one.second.transmissions < 64;
+         });
 }
 
 }  // namespace marblehub::fleet::view
--- a/src/fleet/view/gossip.h
+++ b/src/fleet/view/gossip.h
@@ -1,6 +1,7 @@
-// News that are still to be told. Each is told at most 3 log10(n + 1) times by this member, or six times, but
-// never more than ceil(3 ln(n + 1)): enough for nearly all of n to hear it (SWIM, section 4.1); whoever does
-// not shows another digest and is told by an exchange. The least told go first, of those the newest.
+/// The queue of updates to piggyback on messages. This member sends each update at most max(6, 3 log10(n +
+/// 1)) times and never more than ceil(3 ln(n + 1)) times, which reaches nearly all of n members (SWIM,
+/// section 4.1); a member that missed one has another digest and gets it by push-pull. Updates with the
+/// fewest transmissions go first, the newest of these before older ones.
 #pragma once
 
 #include <algorithm>
@@ -12,32 +13,36 @@
 
 namespace marblehub::fleet::view {
 
+/// The updates still to be sent, at most one for each member.
 class Gossip {
  public:
-  static constexpr int kFresh = 6;
-  static int most_times(std::size_t members) {
+  /// An update sent fewer times than this is worth a gossip message of its own.
+  static constexpr int kFreshTransmissions = 6;
+  /// How often an update is sent in a fleet of `members`.
+  static int max_transmissions(std::size_t members) {
     const double n = static_cast<double>(members) + 1;
     return static_cast<int>(
         std::min(std::ceil(3 * std::log(n)), std::max(6.0, std::ceil(3 * std::log10(n)))));
   }
-  // Takes the place of what was still to be told about the same member.
+  /// Replaces a queued update about the same member.
   void add(MemberUpdate update);
   void clear() { queue_.clear(); }
-  void forget(const std::string& name) { queue_.erase(name); }
-  // As many as fit into `octets`; each counts as told once more. `except` is told in another way.
-  std::vector<MemberUpdate> take(std::size_t members, std::size_t octets, const std::string& except);
+  void remove(const std::string& name) { queue_.erase(name); }
+  /// As many updates as fit into `bytes`; counts a transmission of each. Skips the update about `except`.
+  std::vector<MemberUpdate> take(std::size_t members, std::size_t bytes, const std::string& except);
   std::size_t size() const { return queue_.size(); }
-  bool fresh() const;                       // something was told fewer than kFresh times
-  bool bounded(std::size_t members) const;  // invariant: nothing told more often than it may be
+  bool has_fresh() const;  ///< whether any was sent fewer than kFreshTransmissions times
+  bool within_bounds(std::size_t members) const;  ///< invariant: queue length and transmissions
 
  private:
-  struct Told {
+  /// An update with what decides its place in the queue.
+  struct QueuedUpdate {
     MemberUpdate update;
-    int times = 0;
-    std::uint64_t order = 0;
-    std::size_t octets = 0;
+    int transmissions = 0;
+    std::uint64_t order = 0;  // higher is newer
+    std::size_t bytes = 0;    // encoded size
   };
-  std::map<std::string, Told> queue_;  // one a member
+  std::map<std::string, QueuedUpdate> queue_;  // by the member's name
   std::uint64_t order_ = 0;
 };
 
--- a/src/fleet/view/message.cpp
+++ b/src/fleet/view/message.cpp
@@ -11,13 +11,14 @@
 
 using flatbuffers::FlatBufferBuilder;
 
-bool text_fits(const flatbuffers::String* text, std::size_t most) {
-  return text && text->size() > 0 && text->size() <= most;
+bool text_fits(const flatbuffers::String* text, std::size_t max_size) {
+  return text && text->size() > 0 && text->size() <= max_size;
 }
 
 bool status_known(std::uint8_t status) { return status <= static_cast<std::uint8_t>(MemberStatus::left); }
 
-bool read(const wire::MemberUpdate& from, MemberUpdate& to) {
+/// Decodes an update; false where it exceeds a limit.
+bool read_update(const wire::MemberUpdate& from, MemberUpdate& to) {
   if (!text_fits(from.name(), kMaxMemberNameBytes) || !text_fits(from.address(), kMaxAddressBytes))
     return false;
   if (!status_known(from.status()) || from.incarnation() > kMaxIncarnation) return false;
@@ -39,11 +40,12 @@
 
 }  // namespace
 
-// Each table: its vtable (shared between equal ones, but counted), offsets and padding, rounded up.
+// The constants cover a table's vtable (counted for each, although equal ones are shared), offsets and
+// padding.
 std::size_t encoded_size(const MemberUpdate& update) {
-  std::size_t octets = 64 + encoded_size(update.name) + encoded_size(update.address);
-  for (const std::string& accuser : update.accusers) octets += 4 + encoded_size(accuser);
-  return octets;
+  std::size_t bytes = 64 + encoded_size(update.name) + encoded_size(update.address);
+  for (const std::string& accuser : update.accusers) bytes += 4 + encoded_size(accuser);
+  return bytes;
 }
 
 std::size_t encoded_header_size(const ViewMessage& message) {
@@ -55,16 +57,16 @@
   FlatBufferBuilder builder(1536);
   std::vector<flatbuffers::Offset<wire::MemberUpdate>> updates;
   updates.reserve(message.updates.size());
-  for (const MemberUpdate& one : message.updates) {
+  for (const MemberUpdate& update : message.updates) {
     flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>>> accusers;
-    if (!one.accusers.empty()) accusers = builder.CreateVectorOfStrings(one.accusers);
-    auto name = builder.CreateString(one.name), address = builder.CreateString(one.address);
-    Time age = std::clamp<Time>(one.age / kMillisecond, 0, 0xffffffff);
-    updates.push_back(wire::CreateMemberUpdate(builder, name, address, one.incarnation,
-                                               static_cast<std::uint8_t>(one.status), one.schema, accusers,
-                                               static_cast<std::uint32_t>(age)));
+    if (!update.accusers.empty()) accusers = builder.CreateVectorOfStrings(update.accusers);
+    auto name = builder.CreateString(update.name), address = builder.CreateString(update.address);
+    Time age = std::clamp<Time>(update.age / kMillisecond, 0, 0xffffffff);
+    updates.push_back(wire::CreateMemberUpdate(builder, name, address, update.incarnation,
+                                               static_cast<std::uint8_t>(update.status), update.schema,
+                                               accusers, static_cast<std::uint32_t>(age)));
   }
-  auto all = builder.CreateVector(updates);
+  auto encoded_updates = builder.CreateVector(updates);
   auto address = builder.CreateString(message.address);
   flatbuffers::Offset<flatbuffers::String> target, target_address;
   if (!message.target.empty()) target = builder.CreateString(message.target);
@@ -72,13 +74,13 @@
   builder.Finish(wire::CreateViewMessage(builder, static_cast<std::uint8_t>(message.kind), message.sequence,
                                          message.start_incarnation, message.incarnation, address,
                                          message.schema, static_cast<std::uint8_t>(message.status), target,
-                                         target_address, message.digest, all));
+                                         target_address, message.digest, encoded_updates));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
 std::optional<ViewMessage> decode(std::string_view body) {
   if (body.size() < 8 || body.size() > (std::size_t{1} << 20)) return std::nullopt;
-  std::string copy(body);  // aligned
+  std::string copy(body);  // an aligned copy, as FlatBuffers reads in place
   const auto* data = reinterpret_cast<const std::uint8_t*>(copy.data());
   flatbuffers::Verifier verifier(data, copy.size());
   if (!wire::VerifyViewMessageBuffer(verifier)) return std::nullopt;
@@ -108,7 +110,8 @@
   if (from.updates())
     for (const auto* one : *from.updates()) {
       MemberUpdate update;
-      if (!read(*one, update)) return std::nullopt;  // all or nothing: half of a message is no message
+      if (!read_update(*one, update))
+        return std::nullopt;  // a message with an invalid update is dropped whole
       to.updates.push_back(std::move(update));
     }
   return to;
--- a/src/fleet/view/probes.cpp
+++ b/src/fleet/view/probes.cpp
@@ -1,5 +1,5 @@
-// Is it there? SWIM's probe of one member a period, in an order that meets each once a round (section 4.3),
-// asked for by others where no answer comes, with Lifeguard's nacks.
+// Failure detection: SWIM's probe of one member per protocol period, in an order that has each member once a
+// round (section 4.3), with indirect pings where no ack arrives, and Lifeguard's nacks.
 #include <algorithm>
 
 #include "check/check.h"
@@ -8,61 +8,64 @@
 namespace marblehub::fleet {
 
 namespace {
-constexpr std::size_t kGossipTo = 3;  // in a step
+constexpr std::size_t kGossipFanout = 3;  // members that one step sends to
 }
 
 using view::MessageKind;
 using view::ViewMessage;
 
-// Adds who sends, what the addressee should hear about itself (Lifeguard's buddy system, and a wrong
-// address), and as much gossip as fits.
-void View::State::send(ViewMessage message, const std::string& to, const std::string& at, Outbox& out) {
-  fill_head(message);
+// Adds the header, the update about the addressee where it is not alive (Lifeguard's buddy system) or has
+// another address, and as much gossip as fits.
+void View::State::send(ViewMessage message, const std::string& to, const std::string& to_address,
+                       Outbox& out) {
+  fill_header(message);
   std::size_t used = encoded_header_size(message);
   auto it = members.find(to);
-  const bool known = it != members.end() && it->second.address == at;
+  const bool known = it != members.end() && it->second.address == to_address;
   if (it != members.end() && (it->second.status != MemberStatus::alive || !known)) {
     message.updates.push_back(update_for(it->second));
     used += encoded_size(message.updates.back());
   }
-  for (view::MemberUpdate& update : gossip.take(present, view::kMaxDatagramBodyBytes - used, to))
+  for (view::MemberUpdate& update : gossip.take(live_members, view::kMaxDatagramBodyBytes - used, to))
     message.updates.push_back(std::move(update));
-  Outgoing outgoing{known ? to : "@" + at, Component::view, Transport::datagram, view::encode(message)};
+  Outgoing outgoing{known ? to : "@" + to_address, Component::view, Transport::datagram,
+                    view::encode(message)};
   MARBLEHUB_INVARIANT("view", outgoing.body.size() <= view::kMaxDatagramBodyBytes,
-                      "a datagram over its bound");
+                      "a datagram exceeds its maximum size");
   out.push_back(std::move(outgoing));
 }
 
 std::string View::State::next_target() {
-  auto there = [&](const std::string& one) {
-    auto it = members.find(one);
-    return one != name && it != members.end() && is_live(it->second.status);
+  auto is_candidate = [&](const std::string& peer) {
+    auto it = members.find(peer);
+    return peer != name && it != members.end() && is_live(it->second.status);
   };
-  auto accused = [&](const std::string& one) {  // by this one, or by as many as count
-    const auto it = suspicions.find(one);
-    return it != suspicions.end() && (it->second.accusers.size() > it->second.needed ||
+  auto accused = [&](const std::string& peer) {  // by this balancer, or by enough others
+    const auto it = suspicions.find(peer);
+    return it != suspicions.end() && (it->second.accusers.size() > it->second.needed_confirmations ||
                                       std::ranges::count(it->second.accusers, name) != 0);
   };
-  while (!next.empty()) {
-    std::string one = std::move(next.front());
-    next.pop_front();
-    if (there(one) && !accused(one)) return one;
+  while (!priority_probes.empty()) {
+    std::string peer = std::move(priority_probes.front());
+    priority_probes.pop_front();
+    if (is_candidate(peer) && !accused(peer)) return peer;
   }
   for (int round = 0; round < 2; ++round) {
-    while (!order.empty()) {
-      std::string one = std::move(order.back());
-      order.pop_back();
-      if (there(one)) return one;
+    while (!probe_order.empty()) {
+      std::string peer = std::move(probe_order.back());
+      probe_order.pop_back();
+      if (is_candidate(peer)) return peer;
     }
-    for (const auto& [one, member] : members)
-      if (there(one)) order.push_back(one);
-    for (std::size_t i = order.size(); i > 1; --i) std::swap(order[i - 1], order[one_of(i)]);
+    for (const auto& [peer, member] : members)
+      if (is_candidate(peer)) probe_order.push_back(peer);
+    for (std::size_t i = probe_order.size(); i > 1; --i)
+      std::swap(probe_order[i - 1], probe_order[random_index(i)]);
   }
   return {};
 }
 
 void View::State::begin_probe(Time now, Outbox& out) {
-  // Lifeguard's local health: who doubts itself waits longer for others, and asks less often.
+  // Lifeguard's local health: an unhealthy balancer waits longer for acks and probes less often.
   const Time period = settings.probe * (1 + local_health), ack = settings.ack * (1 + local_health);
   next_probe = now + period;
   std::string target = next_target();
@@ -70,7 +73,7 @@
     probe.reset();
     return;
   }
-  probe = Probe{target, chance(), 0, now + ack, now + ack + (period - ack) / 2, now + period, {}, {}};
+  probe = Probe{target, next_random(), 0, now + ack, now + ack + (period - ack) / 2, now + period, {}, {}};
   ViewMessage message;
   message.kind = MessageKind::ping;
   message.sequence = probe->sequence;
@@ -78,21 +81,21 @@
   send(std::move(message), target, members.at(target).address, out);
 }
 
-// Asked again itself, and others asked in this one's place: twice in a period, so that a lossy network makes
-// few suspects.
-void View::State::ask_helpers(Outbox& out) {
+// Pings the target again and asks helpers to ping it. Called up to twice in a period, so that a lossy network
+// causes few suspicions.
+void View::State::send_ping_requests(Outbox& out) {
   const Member& target = members.at(probe->target);
   ViewMessage again;
   again.kind = MessageKind::ping;
   again.sequence = probe->sequence;
   again.target = target.name;
   send(std::move(again), target.name, target.address, out);
-  // Those that are suspects themselves help only where there are no others.
+  // Suspects are asked only where is_candidate are not enough alive members.
   const auto wanted = static_cast<std::size_t>(std::max(0, settings.indirect));
-  std::vector<std::string> helpers = some(wanted, is_alive, target.name);
+  std::vector<std::string> helpers = random_members(wanted, is_alive, target.name);
   if (helpers.size() < wanted)
-    for (std::string& one : some(wanted - helpers.size(), is_suspect, target.name))
-      helpers.push_back(std::move(one));
+    for (std::string& peer : random_members(wanted - helpers.size(), is_suspect, target.name))
+      helpers.push_back(std::move(peer));
   for (const std::string& helper : helpers) {
     ViewMessage message;
     message.kind = MessageKind::ping_request;
@@ -105,38 +108,41 @@
   }
 }
 
-void View::State::probe_next(const std::string& one) {
-  if (next.size() < kMostNext && std::ranges::count(next, one) == 0) next.push_back(one);
+void View::State::queue_priority_probe(const std::string& peer) {
+  if (priority_probes.size() < kMaxPriorityProbes && std::ranges::count(priority_probes, peer) == 0)
+    priority_probes.push_back(peer);
 }
 
-bool View::State::missed_by_others(const std::string& one) const {
-  const auto it = suspicions.find(one);
-  if (it == suspicions.end()) return !is_live(members.at(one).status);
+bool View::State::accused_by_others(const std::string& peer) const {
+  const auto it = suspicions.find(peer);
+  if (it == suspicions.end()) return !is_live(members.at(peer).status);
   return std::ranges::any_of(it->second.accusers, [&](const std::string& who) { return who != name; });
 }
 
 void View::State::step_probe(Time now, Outbox& out) {
   if (probe && !is_live(members.at(probe->target).status)) probe.reset();
-  if (probe && now >= probe->end) {
+  if (probe && now >= probe->deadline) {
     const Member& target = members.at(probe->target);
-    // Helpers that sent not even a nack hint that it is this one's own messages that are lost or late. Not
-    // so one that another member misses as well.
+    // A helper that sent no nack either indicates that this balancer's own messages are lost or late, unless
+    // another member suspects that helper too.
     std::size_t silent = 0;
     for (const std::string& helper : probe->helpers) {
-      if (std::ranges::count(probe->nacked, helper) != 0 || missed_by_others(helper)) continue;
+      if (std::ranges::count(probe->nacked, helper) != 0 || accused_by_others(helper)) continue;
       ++silent;
-      probe_next(helper);
+      queue_priority_probe(helper);
     }
-    if (probe->helpers.empty() || silent != 0) doubt(1);
+    if (probe->helpers.empty() || silent != 0) adjust_local_health(1);
     view::MemberUpdate update = update_for(target);
     update.status = MemberStatus::suspect;
     update.accusers = {name};
     probe.reset();
-    hear(now, update, Source::gossip, out);
-  } else if (probe && probe->round < 2 && now >= probe->next) {
-    ++probe->round;
-    probe->next = probe->round == 1 ? std::max(probe->half, now + 1) : probe->end;  // late: not due at once
-    ask_helpers(out);
+    apply_update(now, update, Source::gossip, out);
+  } else if (probe && probe->indirect_rounds < 2 && now >= probe->next_round) {
+    ++probe->indirect_rounds;
+    probe->next_round = probe->indirect_rounds == 1
+                            ? std::max(probe->second_round, now + 1)
+                            : probe->deadline;  // not due at once where this call is late
+    send_ping_requests(out);
   }
   if (now >= next_probe) begin_probe(now, out);
 }
@@ -152,31 +158,32 @@
 void View::State::on_ack(Time now, const ViewMessage& message, Outbox& out) {
   if (probe && message.sequence == probe->sequence) {
     probe.reset();
-    doubt(-1);
+    adjust_local_health(-1);
   }
-  auto it = helping.find(message.sequence);
-  if (it == helping.end() || now >= it->second.until) return;
-  Helping help = std::move(it->second);
-  helping.erase(it);
+  auto it = indirect_pings.find(message.sequence);
+  if (it == indirect_pings.end() || now >= it->second.expires_at) return;
+  IndirectPing ping = std::move(it->second);
+  indirect_pings.erase(it);
   ViewMessage ack;
   ack.kind = MessageKind::ack;
-  ack.sequence = help.sequence;
-  ack.target = help.target;
-  send(std::move(ack), help.requester, help.requester_address, out);
+  ack.sequence = ping.sequence;
+  ack.target = ping.target;
+  send(std::move(ack), ping.requester, ping.requester_address, out);
 }
 
 void View::State::on_ping_request(Time now, const std::string& from, const ViewMessage& message,
                                   Outbox& out) {
-  if (message.target.empty() || message.target_address.empty() || helping.size() >= kMostHelping) return;
-  std::uint64_t sequence = chance();
-  // The nack leaves at four fifths of the time that its requester waits at best (Lifeguard, section IV.A).
-  helping[sequence] = {from,
-                       message.address,
-                       message.target,
-                       message.sequence,
-                       now + settings.ack * 4 / 5,
-                       now + 2 * settings.probe,
-                       false};
+  if (message.target.empty() || message.target_address.empty() || indirect_pings.size() >= kMaxIndirectPings)
+    return;
+  std::uint64_t sequence = next_random();
+  // The nack is sent after 4/5 of the minimum time that the requester waits (Lifeguard, section IV.A).
+  indirect_pings[sequence] = {from,
+                              message.address,
+                              message.target,
+                              message.sequence,
+                              now + settings.ack * 4 / 5,
+                              now + 2 * settings.probe,
+                              false};
   ViewMessage ping;
   ping.kind = MessageKind::ping;
   ping.sequence = sequence;
@@ -186,38 +193,38 @@
 
 void View::State::on_nack(const std::string& from, const ViewMessage& message) {
   if (!probe || message.sequence != probe->sequence) return;
-  auto in = [&](const std::vector<std::string>& list) {
+  auto contains = [&](const std::vector<std::string>& list) {
     return std::find(list.begin(), list.end(), from) != list.end();
   };
-  if (in(probe->helpers) && !in(probe->nacked)) probe->nacked.push_back(from);
+  if (contains(probe->helpers) && !contains(probe->nacked)) probe->nacked.push_back(from);
 }
 
-// What is new does not wait for probes alone: SWIM's piggybacking takes seconds where many join or are
-// accused at once. Nothing is sent where nothing is new, and each news is told as often as it would be
-// anyhow.
+// Sends fresh updates without waiting for probes, because SWIM's piggybacking alone takes seconds where many
+// members join or are suspected at once. The number of transmissions of an update stays the same, and nothing
+// is sent where nothing is fresh.
 void View::State::step_gossip(Time now, Outbox& out) {
-  if (now < next_gossip || present == 1 || !gossip.fresh()) return;
+  if (now < next_gossip || live_members == 1 || !gossip.has_fresh()) return;
   next_gossip = now + settings.probe * 2 / 5;
-  for (const std::string& one : some(kGossipTo, is_live, {})) {
+  for (const std::string& peer : random_members(kGossipFanout, is_live, {})) {
     ViewMessage message;
     message.kind = MessageKind::gossip;
-    message.target = one;
-    send(std::move(message), one, members.at(one).address, out);
+    message.target = peer;
+    send(std::move(message), peer, members.at(peer).address, out);
   }
 }
 
-void View::State::step_helping(Time now, Outbox& out) {
-  for (auto it = helping.begin(); it != helping.end();) {
-    Helping& help = it->second;
-    if (!help.nacked && now >= help.nack) {
-      help.nacked = true;
+void View::State::step_indirect_pings(Time now, Outbox& out) {
+  for (auto it = indirect_pings.begin(); it != indirect_pings.end();) {
+    IndirectPing& ping = it->second;
+    if (!ping.nack_sent && now >= ping.nack_at) {
+      ping.nack_sent = true;
       ViewMessage nack;
       nack.kind = MessageKind::nack;
-      nack.sequence = help.sequence;
-      nack.target = help.target;
-      send(std::move(nack), help.requester, help.requester_address, out);
+      nack.sequence = ping.sequence;
+      nack.target = ping.target;
+      send(std::move(nack), ping.requester, ping.requester_address, out);
     }
-    it = now >= help.until ? helping.erase(it) : std::next(it);
+    it = now >= ping.expires_at ? indirect_pings.erase(it) : std::next(it);
   }
 }
 
--- a/tests/fleet/view/network.h
+++ b/tests/fleet/view/network.h
@@ -20,7 +20,7 @@
   std::unique_ptr<View> view;  // null: not running
   Time paused_until = 0;
   Time scheduled = 0;  // its next tick in the queue, to leave out further ones
-  std::uint64_t octets = 0, messages = 0;
+  std::uint64_t bytes = 0, messages = 0;
 };
 
 class Network {
@@ -160,7 +160,7 @@
     for (const Outgoing& one : out) {
       Process& p = processes_[from];
       if (sent) sent(from, one);
-      p.octets += one.body.size() + around;
+      p.bytes += one.body.size() + around;
       ++p.messages;
       std::string address = one.to.front() == '@' ? one.to.substr(1) : p.view->members().at(one.to).address;
       auto it = at_.find(address);
--- a/tests/fleet/view/random_test.cpp
+++ b/tests/fleet/view/random_test.cpp
@@ -103,6 +103,6 @@
   for (const auto& update : second) ++told[update.name];
   while (gossip.size())
     for (const auto& update : gossip.take(40, 1000, "")) ++told[update.name];
-  for (const auto& [name, times] : told) CHECK(times == view::Gossip::most_times(40));
-  CHECK(view::Gossip::most_times(40) == 6);
+  for (const auto& [name, transmissions] : told) CHECK(transmissions == view::Gossip::max_transmissions(40));
+  CHECK(view::Gossip::max_transmissions(40) == 6);
 }
