--- a/src/fleet/view/state.h
+++ b/src/fleet/view/state.h
@@ -1,5 +1,5 @@
-/// The implementation of View. news.cpp applies updates to members, probes.cpp has the current probe and the
-/// indirect pings for others, exchange.cpp the push-pulls, seeds and name conflicts, view.cpp the timers.
+/// The implementation of View. updates.cpp applies updates to members, probes.cpp has the current probe and
+/// the indirect pings for others, exchange.cpp the push-pulls, seeds and name conflicts, view.cpp the timers.
 #pragma once
 
 #include <deque>
@@ -18,7 +18,7 @@
 struct View::State {
   State(const Settings& settings, std::uint64_t incarnation, std::uint64_t seed, Time now);
 
-  // -- news.cpp: updates about members
+  // -- updates.cpp: updates about members
   /// How an update arrived. A push-pull also has members that died long ago.
   enum class Source { gossip, push_pull };
   /// Applies an update where it supersedes what is known. Returns whether a member or suspicion changed.
