--- a/tests/fleet/view/message_test.cpp
+++ b/tests/fleet/view/message_test.cpp
@@ -1,4 +1,4 @@
-// Messages of the view: as fields and back, older and newer schemas, and what strangers do to them.
+// The encoding of the view's messages: round trips, limits, older and newer schemas, corrupted messages.
 #include "fleet/view/message.h"
 
 #include <flatbuffers/flatbuffers.h>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("a message comes out as it went in") {
+TEST_CASE("a decoded message equals the encoded one") {
   auto out = decode(encode(sample()));
   REQUIRE(out);
   CHECK(out->kind == MessageKind::ping_request);
@@ -49,10 +49,10 @@
   CHECK(out->updates[1].status == MemberStatus::left);
 }
 
-TEST_CASE("out of bounds is refused whole") {
-  auto refused = [](auto&& spoil) {
+TEST_CASE("a message with a field out of its limits is not decoded") {
+  auto refused = [](auto&& mutate) {
     ViewMessage message = sample();
-    spoil(message);
+    mutate(message);
     return !decode(encode(message));
   };
   CHECK(refused([](ViewMessage& s) { s.kind = static_cast<MessageKind>(0); }));
@@ -68,7 +68,7 @@
   CHECK_FALSE(refused([](ViewMessage&) {}));
 }
 
-TEST_CASE("news are reckoned no smaller than they are") {
+TEST_CASE("the size of an encoded update is not underestimated") {
   ViewMessage message = sample();
   message.updates.clear();
   CHECK(encode(message).size() <= encoded_header_size(message));
@@ -86,36 +86,36 @@
   }
 }
 
-TEST_CASE("a newer member's further fields are passed over, an older one's missing ones have defaults") {
+TEST_CASE("unknown fields of a newer member are ignored, missing fields of an older one have defaults") {
   flatbuffers::FlatBufferBuilder newer;
   auto address = newer.CreateString("10.0.0.9:1");
-  auto unknown = newer.CreateString("what schema 2 says");
-  auto begun = newer.StartTable();
+  auto unknown = newer.CreateString("a field of schema 2");
+  auto table = newer.StartTable();
   newer.AddElement<std::uint8_t>(wire::ViewMessage::VT_KIND, 1, 0);
   newer.AddElement<std::uint64_t>(wire::ViewMessage::VT_INCARNATION, 12, 0);
   newer.AddOffset(wire::ViewMessage::VT_ADDRESS, address);
   newer.AddElement<std::uint8_t>(wire::ViewMessage::VT_SCHEMA, 2, 1);
   newer.AddOffset(wire::ViewMessage::VT_UPDATES + 2, unknown);
   newer.AddElement<std::uint64_t>(wire::ViewMessage::VT_UPDATES + 4, 77, 0);
-  newer.Finish(flatbuffers::Offset<wire::ViewMessage>(newer.EndTable(begun)));
+  newer.Finish(flatbuffers::Offset<wire::ViewMessage>(newer.EndTable(table)));
   auto message = decode({reinterpret_cast<const char*>(newer.GetBufferPointer()), newer.GetSize()});
   REQUIRE(message);
   CHECK(message->incarnation == 12);
   CHECK(message->schema == 2);
 
-  flatbuffers::FlatBufferBuilder older;  // kind and address alone
+  flatbuffers::FlatBufferBuilder older;  // only kind and address
   address = older.CreateString("10.0.0.9:1");
-  begun = older.StartTable();
+  table = older.StartTable();
   older.AddElement<std::uint8_t>(wire::ViewMessage::VT_KIND, 1, 0);
   older.AddOffset(wire::ViewMessage::VT_ADDRESS, address);
-  older.Finish(flatbuffers::Offset<wire::ViewMessage>(older.EndTable(begun)));
+  older.Finish(flatbuffers::Offset<wire::ViewMessage>(older.EndTable(table)));
   message = decode({reinterpret_cast<const char*>(older.GetBufferPointer()), older.GetSize()});
   REQUIRE(message);
   CHECK(message->schema == 1);
   CHECK(message->status == MemberStatus::alive);
   CHECK(message->updates.empty());
-  Network net(1);  // and a member that speaks so is answered
-  auto all = fleet(net, 3, 0);
+  Network net(1);  // such a message is answered
+  auto all = start_fleet(net, 3, 0);
   net.run(3 * kSecond);
   Outbox out;
   net[0].view->received(net.now(), "veteran",
@@ -125,9 +125,9 @@
   CHECK_FALSE(out.empty());
 }
 
-TEST_CASE("messages cut, mutated, random or of 64 KB change nothing where the fleet's seal is on") {
+TEST_CASE("truncated, mutated, random and oversized messages change nothing behind the envelope") {
   Network net(24);
-  auto all = fleet(net, 5, 0);
+  auto all = start_fleet(net, 5, 0);
   net.run(5 * kSecond);
   const std::uint64_t digest = net[0].view->digest(), generation = net[0].view->generation();
   EnvelopeSealer sealer("tartu", {std::string(32, 'k')});
@@ -136,59 +136,59 @@
   const std::string body = encode(message), sealed = sealer.seal({1, "boris", 1, 0, Component::view, body});
   std::size_t opened = 0;
   for (int round = 0; round < 20000; ++round) {
-    std::string bad = sealed;
+    std::string corrupted = sealed;
     switch (round % 4) {
       case 0:
-        bad.resize(random() % bad.size());
+        corrupted.resize(random() % corrupted.size());
         break;
       case 1:
-        bad[random() % bad.size()] ^= static_cast<char>(1 + random() % 255);
+        corrupted[random() % corrupted.size()] ^= static_cast<char>(1 + random() % 255);
         break;
       case 2:
-        bad.insert(random() % bad.size(), 1 + random() % 40, static_cast<char>(random()));
+        corrupted.insert(random() % corrupted.size(), 1 + random() % 40, static_cast<char>(random()));
         break;
       default:
-        bad.resize(round % 1000 == 3 ? 65536 : random() % 1500);
-        for (char& c : bad) c = static_cast<char>(random());
+        corrupted.resize(round % 1000 == 3 ? 65536 : random() % 1500);
+        for (char& c : corrupted) c = static_cast<char>(random());
     }
     DropReason why{};
-    auto envelope = sealer.open(bad, why, round % 2 ? Transport::datagram : Transport::stream);
-    if (envelope) ++opened, net.hand(0, envelope->sender, envelope->body, Transport::datagram);
+    auto envelope = sealer.open(corrupted, why, round % 2 ? Transport::datagram : Transport::stream);
+    if (envelope) ++opened, net.deliver(0, envelope->sender, envelope->body, Transport::datagram);
   }
   CHECK(opened == 0);
-  // A stranger that has the key, or a broken member: 64 KB, cut and the wrong transport
+  // From a faulty member that has the key: oversized, truncated and with the wrong transport.
   for (Transport transport : {Transport::datagram, Transport::stream}) {
-    net.hand(0, "boris", std::string(65536, '\0'), transport);
-    net.hand(0, "boris", body.substr(0, body.size() / 2), transport);
-    net.hand(0, "", body, transport);
-    net.hand(0, std::string(129, 'x'), body, transport);
+    net.deliver(0, "boris", std::string(65536, '\0'), transport);
+    net.deliver(0, "boris", body.substr(0, body.size() / 2), transport);
+    net.deliver(0, "", body, transport);
+    net.deliver(0, std::string(129, 'x'), body, transport);
   }
-  net.hand(0, "boris", body, Transport::stream);
-  net.hand(0, "boris", body + std::string(65536, 'x'), Transport::datagram);
+  net.deliver(0, "boris", body, Transport::stream);
+  net.deliver(0, "boris", body + std::string(65536, 'x'), Transport::datagram);
   CHECK(net[0].view->digest() == digest);
   CHECK(net[0].view->generation() == generation);
 }
 
-TEST_CASE("a repeated message changes nothing further") {
+TEST_CASE("a duplicated message changes nothing") {
   Network net(9);
-  auto all = fleet(net, 5, 0);
+  auto all = start_fleet(net, 5, 0);
   net.run(5 * kSecond);
   Outbox sent;
-  net.sent = [&](std::size_t from, const Outgoing& one) {
+  net.on_send = [&](std::size_t from, const Outgoing& one) {
     if (from == 1) sent.push_back(one);
   };
   net.run(10 * kSecond);
-  net.sent = nullptr;
+  net.on_send = nullptr;
   REQUIRE_FALSE(sent.empty());
   const std::uint64_t generation = net[0].view->generation();
   for (int again = 0; again < 50; ++again)
-    for (const Outgoing& one : sent) net.hand(0, net[1].name, one.body, one.transport);
+    for (const Outgoing& one : sent) net.deliver(0, net[1].name, one.body, one.transport);
   CHECK(net[0].view->generation() == generation);
 }
 
-TEST_CASE("mutated bodies of a broken member break no bound and no invariant") {
+TEST_CASE("mutated messages of a faulty member violate no limit and no invariant") {
   Network net(25);
-  fleet(net, 5, 0);
+  start_fleet(net, 5, 0);
   net.run(5 * kSecond);
   std::mt19937_64 random(25);
   std::vector<std::string> bodies;
@@ -200,18 +200,18 @@
         {"balancer-0", net[0].address, 5'000'000'000, MemberStatus::suspect, 1, {"x"}, 0});
     bodies.push_back(encode(message));
   }
-  std::size_t read = 0;
+  std::size_t decoded = 0;
   for (int round = 0; round < 30000; ++round) {
     std::string body = bodies[random() % bodies.size()];
     for (std::uint64_t changes = random() % 4; changes > 0; --changes)
       body[random() % body.size()] = static_cast<char>(random());
     if (random() % 8 == 0) body.resize(random() % body.size());
-    read += decode(body).has_value();
-    net.hand(0, random() % 3 ? "boris" : "balancer-" + std::to_string(random() % 5), body,
-             random() % 2 ? Transport::datagram : Transport::stream);
+    decoded += decode(body).has_value();
+    net.deliver(0, random() % 3 ? "boris" : "balancer-" + std::to_string(random() % 5), body,
+                random() % 2 ? Transport::datagram : Transport::stream);
     if (round % 500 == 0) net.run(kSecond);
   }
-  CHECK(read > 1000);  // some are readable and false: the checks inside must hold all the same
+  CHECK(decoded > 1000);  // some decode to wrong contents, and no invariant may fail on them
   CHECK(net[0].view->members().size() <= kMaxMembers);
   CHECK(net[0].view->members().at("balancer-0").status == MemberStatus::alive);
 }
