--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -1,7 +1,8 @@
-// Everything of the fleet that reads what others sent, in one call: for libFuzzer and for the short run in
-// CI. Each reader by itself, and whole nodes that hear a member of the fleet say anything. Where a code or a
-// hash stands before a reader it is put there too, else nothing would come past it. Invariants may break on a
-// member's false word (src/check turns the part off); memory, bounds and what is read back may not.
+/// Fuzzing of everything in the fleet that decodes received messages, for libFuzzer and for the short run in
+/// CI: each decoder by itself, and whole nodes that receive arbitrary messages from a member. A MAC or
+/// checksum that a decoder requires is added, as random inputs would not pass it. A wrong message of a member
+/// may violate an invariant (src/check then turns off the component), but must not cause a memory error,
+/// exceed a limit or decode to something that does not survive a round trip.
 #pragma once
 
 #include <openssl/hmac.h>
@@ -21,26 +22,30 @@
 inline const std::string kKey(32, 'k');
 constexpr Time kStart = 1'800'000'000 * kSecond;
 
+/// Aborts the process where the condition does not hold, also in builds without assertions.
 inline void require(bool holds) {
   if (!holds) std::abort();
 }
 
-inline std::string with_hmac(std::string_view octets) {
-  const auto length = static_cast<std::uint32_t>(octets.size());
-  std::string inside(reinterpret_cast<const char*>(&length), sizeof length);
-  inside += octets;
-  unsigned char code[32];
-  unsigned size = sizeof code;
+/// The input as the contents of an envelope with a valid MAC under kKey.
+inline std::string with_hmac(std::string_view payload) {
+  const auto length = static_cast<std::uint32_t>(payload.size());
+  std::string content(reinterpret_cast<const char*>(&length), sizeof length);
+  content += payload;
+  unsigned char mac[32];
+  unsigned size = sizeof mac;
   HMAC(EVP_sha256(), kKey.data(), static_cast<int>(kKey.size()),
-       reinterpret_cast<const unsigned char*>(inside.data()), inside.size(), code, &size);
-  return std::string(reinterpret_cast<const char*>(code), size) + inside;
+       reinterpret_cast<const unsigned char*>(content.data()), content.size(), mac, &size);
+  return std::string(reinterpret_cast<const char*>(mac), size) + content;
 }
 
-inline std::string with_checksum(std::string_view octets) {
-  const std::uint64_t hash = hash_of(octets);
-  return std::string(octets).append(reinterpret_cast<const char*>(&hash), sizeof hash);
+/// The input followed by the hash that the record's messages and stored entries end with.
+inline std::string with_checksum(std::string_view payload) {
+  const std::uint64_t hash = hash_of(payload);
+  return std::string(payload).append(reinterpret_cast<const char*>(&hash), sizeof hash);
 }
 
+/// Whether the sums and versions of a ledger are consistent.
 inline bool is_consistent(const Ledger& ledger) {
   for (const auto& [name, wallet] : ledger.wallets) {
     std::int64_t out = 0;
@@ -51,76 +56,78 @@
   return ledger.routes.next == 0 || ledger.routes.next > ledger.routes.in_force;
 }
 
-// What commands of any content leave of a ledger that has something in it.
-inline void apply_to_some(const Command& command) {
-  static const Ledger some = [] {
+/// Applies an arbitrary command to a ledger with contents and requires a consistent result.
+inline void apply_to_populated_ledger(const Command& command) {
+  static const Ledger populated = [] {
     Ledger l;
     l.voters = {"alva", "boris", "celia"};
-    auto say = [&](Body body) {
+    auto propose = [&](Body body) {
       require(apply(l, l.applied + 1, {{"boris", 1, l.applied + 1}, std::move(body)}).empty());
     };
-    say(Deposit{"acme", "d1", 1000});
-    say(TakeSlice{"acme", "s1", "boris", 1, 10, kStart});
-    say(TakeSlice{"acme", "s2", "boris", 1, 10, kStart});
-    say(LapseSlice{"acme", "s2"});
-    say(ProposeRoutes{1, "t", {"boris"}, kStart});
-    say(StagedRoutes{1, "boris", "", false});
-    say(ActivateRoutes{1, kStart + kSecond});
+    propose(Deposit{"acme", "d1", 1000});
+    propose(TakeSlice{"acme", "s1", "boris", 1, 10, kStart});
+    propose(TakeSlice{"acme", "s2", "boris", 1, 10, kStart});
+    propose(LapseSlice{"acme", "s2"});
+    propose(ProposeRoutes{1, "t", {"boris"}, kStart});
+    propose(StagedRoutes{1, "boris", "", false});
+    propose(ActivateRoutes{1, kStart + kSecond});
     return l;
   }();
-  Ledger ledger = some;
-  Command turn = command;
-  turn.id = {"boris", 1, some.applied + 1};
-  for (const Command& each : {command, turn}) {
+  Ledger ledger = populated;
+  Command next_command = command;
+  next_command.id = {"boris", 1, populated.applied + 1};
+  for (const Command& each : {command, next_command}) {
     apply(ledger, ledger.applied + 1, each);
     require(is_consistent(ledger));
   }
 }
 
-// True: something was read that verified.
+/// Passes the input to each decoder and requires a round trip of what it decodes. Returns whether any
+/// succeeded.
 inline bool try_all_decoders(std::string_view bytes) {
   static const EnvelopeSealer sealer("tartu", {kKey});
-  bool read = false;
+  bool decoded = false;
   for (Transport transport : {Transport::datagram, Transport::stream})
-    for (const std::string& octets : {std::string(bytes), with_hmac(bytes)}) {
+    for (const std::string& input : {std::string(bytes), with_hmac(bytes)}) {
       DropReason why{};
-      const auto envelope = sealer.open(octets, why, transport);
+      const auto envelope = sealer.open(input, why, transport);
       if (!envelope) continue;
-      read = true;
-      require(octets.size() <=
+      decoded = true;
+      require(input.size() <=
               (transport == Transport::datagram ? kMaxDatagramBytes : kMaxStreamMessageBytes));
       require(!envelope->sender.empty() && envelope->sender.size() <= kMaxNameBytes);
-      const auto again = sealer.open(sealer.seal(*envelope), why);
-      require(again ? again->body == envelope->body && again->sender == envelope->sender
-                    : why == DropReason::too_long);
+      const auto reopened = sealer.open(sealer.seal(*envelope), why);
+      require(reopened ? reopened->body == envelope->body && reopened->sender == envelope->sender
+                       : why == DropReason::too_long);
     }
   if (const auto message = view::decode(bytes)) {
-    read = true;
-    const std::string octets = view::encode(*message);
-    const auto again = view::decode(octets);
-    require(again ? view::encode(*again) == octets : octets.size() > (1 << 20));
+    decoded = true;
+    const std::string encoded = view::encode(*message);
+    const auto redecoded = view::decode(encoded);
+    require(redecoded ? view::encode(*redecoded) == encoded : encoded.size() > (1 << 20));
   }
-  for (const std::string& octets : {std::string(bytes), with_checksum(bytes)}) {
+  for (const std::string& input : {std::string(bytes), with_checksum(bytes)}) {
     Message message;
-    read |= unsealed(octets, message);
+    decoded |= unsealed(input, message);
     Command command, command_again;
-    if (decode(octets, command)) {
-      read = true;
+    if (decode(input, command)) {
+      decoded = true;
       require(decode(encode(command), command_again) && encode(command_again) == encode(command));
-      apply_to_some(command);
+      apply_to_populated_ledger(command);
     }
     Ledger ledger, ledger_again;
-    if (decode(octets, ledger)) {
-      read = true;
+    if (decode(input, ledger)) {
+      decoded = true;
       require(decode(encode(ledger), ledger_again) && digest(ledger_again) == digest(ledger));
     }
   }
-  return read;
+  return decoded;
 }
 
-enum class NodeRole { leader, follower, learner, without_disk };  // the last two do not vote
+/// The state of the fuzzed node. The last two do not vote.
+enum class NodeRole { leader, follower, learner, without_disk };
 
-// A node that hears `boris`, brought by his true words to where it leads, follows or learns.
+/// A node `alva` that receives messages from the member `boris`, brought into its role by valid messages.
 struct FuzzedNode {
   explicit FuzzedNode(NodeRole role) {
     Settings s;
@@ -141,7 +148,7 @@
     parts.first_fleet = true;
     node = std::make_unique<Node>(std::move(parts), now);
     if (role == NodeRole::leader) {
-      for (int turn = 0; turn < 400 && node->record().ledger().applied < 2; ++turn) step(true);
+      for (int iteration = 0; iteration < 400 && node->record().ledger().applied < 2; ++iteration) step(true);
       require(node->record().role() == Role::leader && node->record().ledger().applied >= 2);
     } else {
       step(false);
@@ -156,25 +163,27 @@
       require(node->record().ledger().applied == 1);
     }
   }
-  // Boris votes for it and takes what it appends, where he is asked to.
-  void step(bool boris_answers) {
+  /// Ticks the node; boris then optionally grants its vote requests and accepts its appends.
+  void step(bool boris_replies) {
     now = std::max(now + kMillisecond, std::min(node->next_due(), now + kSecond));
     Outbox out;
     node->tick(now, out);
-    for (std::size_t at = 0; boris_answers && at < out.size(); ++at) {
+    for (std::size_t at = 0; boris_replies && at < out.size(); ++at) {
       const Outgoing each = out[at];
-      Message asked, answer;
-      if (each.to != "boris" || each.component != Component::record || !unsealed(each.body, asked)) continue;
-      answer.flag = true;
-      answer.term = asked.term;
-      answer.beat = asked.beat;
-      answer.kind = asked.kind == kAsk ? kAnswer : kAppended;
-      answer.offset = asked.kind == kAsk && asked.flag;
-      answer.index = asked.kind == kAsk ? 0 : asked.index + asked.entries.size();
-      if (asked.kind == kAsk || asked.kind == kAppend)
-        node->received(now, "boris", Component::record, sealed(answer), Transport::stream, out);
+      Message request, reply;
+      if (each.to != "boris" || each.component != Component::record || !unsealed(each.body, request))
+        continue;
+      reply.flag = true;
+      reply.term = request.term;
+      reply.beat = request.beat;
+      reply.kind = request.kind == kAsk ? kAnswer : kAppended;
+      reply.offset = request.kind == kAsk && request.flag;
+      reply.index = request.kind == kAsk ? 0 : request.index + request.entries.size();
+      if (request.kind == kAsk || request.kind == kAppend)
+        node->received(now, "boris", Component::record, sealed(reply), Transport::stream, out);
     }
   }
+  /// Delivers a message and requires that the node's answers are within the size limit.
   void deliver(const std::string& from, Component component, std::string_view body, Transport transport) {
     Outbox out;
     node->received(now, from, component, body, transport, out);
@@ -185,17 +194,18 @@
   std::unique_ptr<Node> node;
 };
 
-// One octet that says who hears it and how, the rest is the body; twice, as repeated, and time passes.
+/// Delivers the input to a node twice, as a duplicate, and lets time pass. The first byte selects the role,
+/// sender, component and transport; the rest is the body.
 inline void deliver_to_node(std::string_view bytes) {
   if (bytes.empty()) return;
-  const auto how = static_cast<unsigned char>(bytes[0]);
-  const std::string body = how & 4 ? with_checksum(bytes.substr(1)) : std::string(bytes.substr(1));
-  FuzzedNode fuzzed(static_cast<NodeRole>(how % 4 % 3));
+  const auto flags = static_cast<unsigned char>(bytes[0]);
+  const std::string body = flags & 4 ? with_checksum(bytes.substr(1)) : std::string(bytes.substr(1));
+  FuzzedNode fuzzed(static_cast<NodeRole>(flags % 4 % 3));
   check::on_violation = [](const char*, const std::string&) {};
   for (int times = 0; times < 2; ++times)
-    fuzzed.deliver(how & 32 ? "stranger" : "boris", how & 8 ? Component::view : Component::record, body,
-                   how & 16 ? Transport::datagram : Transport::stream);
-  for (int turn = 0; turn < 8; ++turn) fuzzed.step(true);
+    fuzzed.deliver(flags & 32 ? "stranger" : "boris", flags & 8 ? Component::view : Component::record, body,
+                   flags & 16 ? Transport::datagram : Transport::stream);
+  for (int iteration = 0; iteration < 8; ++iteration) fuzzed.step(true);
   fuzzed.node->routes()->route(fuzzed.now, "ride", "acme", "7");
   Reservation reservation;
   fuzzed.node->wallets()->reserve(fuzzed.now, "acme", "ride", reservation);
