--- a/src/fleet/view/state.h
+++ b/src/fleet/view/state.h
@@ -141,12 +141,13 @@
   static constexpr std::size_t kMaxIndirectPings = 64;
 
   Time next_gossip, next_push_pull, next_reconnect, next_seed_ping, last_push_pull, last_now, next_due;
-  std::uint64_t conflict_sequence = 0;
+  std::uint64_t conflict_sequence = 0;  // of the last ping to another process with this name; 0: none awaited
   Time conflict_probed_at;
-  std::optional<std::string> conflicting_address;
+  std::optional<std::string> conflicting_address;  // see View::name_conflict
   bool left = false;
 };
 
+/// Whether a member counts as present: alive or suspect.
 inline bool is_live(MemberStatus status) {
   return status == MemberStatus::alive || status == MemberStatus::suspect;
 }
--- a/src/fleet/view/view.cpp
+++ b/src/fleet/view/view.cpp
@@ -8,7 +8,7 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr Time kNever = 3600 * kSecond;
+constexpr Time kStoppedTickInterval = 3600 * kSecond;
 constexpr Time kMinPushPullInterval = kSecond;  // for push-pulls besides the periodic ones
 constexpr std::size_t kMaxLeaveMessages = 32;
 constexpr int kMinMatchingDigests = 8;
@@ -84,7 +84,7 @@
 }
 
 Time View::State::due() const {
-  if (is_stopped()) return last_now + kNever;
+  if (is_stopped()) return last_now + kStoppedTickInterval;
   Time due = std::min({next_probe, next_push_pull, next_reconnect, next_seed_ping});
   if (live_members > 1 && gossip.has_fresh()) due = std::min(due, std::max(next_gossip, last_now + 1));
   if (probe && probe->indirect_rounds < 2) due = std::min(due, probe->next_round);
