--- a/src/fleet/wallet/slices.h
+++ b/src/fleet/wallet/slices.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/wallet/tills.h"
+#include "fleet/wallet/tenant_budgets.h"
 
 namespace marblehub::fleet {
 
--- a/src/fleet/wallet/tills.cpp
+++ b/src/fleet/wallet/tenant_budgets.cpp
@@ -1,4 +1,4 @@
-#include "fleet/wallet/tills.h"
+#include "fleet/wallet/tenant_budgets.h"
 
 #include <algorithm>
 
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "fleet/wallet/slices.h"
-#include "fleet/wallet/tills.h"
+#include "fleet/wallet/tenant_budgets.h"
 #include "fleet/wallet/wallet.h"
 
 namespace marblehub::fleet {
