--- a/src/fleet/wallet/slices.cpp
+++ b/src/fleet/wallet/slices.cpp
@@ -8,268 +8,290 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr Time kUnhurried = 200 * kMillisecond;  // a slice is kept so long before it is given back unneeded
-constexpr Time kSlowDisk = 200 * kMillisecond;   // beyond it new slices go without lines: held back in full
-constexpr std::int64_t kWorthALine = 16;         // units; what is less is spent before a line lasts
-constexpr Time kDear = 5 * kSecond;              // a class not asked for in it is not reckoned with
-constexpr Time kRecent = 30 * kSecond;           // a wallet asked for within it is held ready
+constexpr Time kMinHoldTime = 200 * kMillisecond;  // before an unneeded slice is returned
+constexpr Time kSlowSync = 200 * kMillisecond;     // a line pending for longer: new slices are not journaled
+constexpr std::int64_t kMinJournaledUnits = 16;    // a smaller slice is spent before a line is durable
+constexpr Time kPriceWindow = 5 * kSecond;         // for the highest price requested
+constexpr Time kActiveWindow = 30 * kSecond;       // a wallet with a call in it holds a slice ready
 
-// A line lasts after a turn and a disk's sync: so much is spent meanwhile, and twice that is claimed ahead.
-// At least one call: what is allowed is worth nothing to it in parts.
-std::int64_t line_step(std::int64_t amount, double rate, std::int64_t usual) {
-  return std::max({usual, amount / 8, static_cast<std::int64_t>(rate * 0.1)});
+// The units spent while a journal line becomes durable; a line claims twice as much ahead. It covers at least
+// one call, since a call cannot use a part of its price.
+std::int64_t journal_step(std::int64_t amount, double rate, std::int64_t recent_max_price) {
+  return std::max({recent_max_price, amount / 8, static_cast<std::int64_t>(rate * 0.1)});
 }
 
-// The amounts of all that is out to this process.
-std::int64_t held_by(const Till& till) {
+// The sum of the amounts of all slices granted to this process.
+std::int64_t total_held(const TenantBudget& budget) {
   std::int64_t sum = 0;
-  for (const Held& held : till.held)
-    if (held.stage != Stage::empty) sum += held.amount;
+  for (const HeldSlice& slice : budget.slices)
+    if (slice.state != SliceState::empty) sum += slice.amount;
   return sum;
 }
 
 }  // namespace
 
-Slices::Slices(Terms terms, Journal* journal, std::uint64_t seed)
-    : terms_(std::move(terms)), journal_(journal), chance_(seed) {}
+SliceManager::SliceManager(Identity identity, Journal* journal, std::uint64_t seed)
+    : identity_(std::move(identity)), journal_(journal), rng_(seed) {}
 
-void Slices::step(Time now, Till& till, const WalletSettings& settings, RecordInterface& book,
-                  std::size_t members, bool floats, std::int64_t dearest, Outbox& out) {
-  Plan& plan = plans_[till.tenant];
-  const Ledger& ledger = book.ledger();
-  auto it = ledger.wallets.find(till.tenant);
+void SliceManager::step(Time now, TenantBudget& budget, const WalletSettings& settings,
+                        RecordInterface& record, std::size_t members, bool prefetch, std::int64_t max_price,
+                        Outbox& out) {
+  Refill& refill = refills_[budget.tenant];
+  const Ledger& ledger = record.ledger();
+  auto it = ledger.wallets.find(budget.tenant);
   const Wallet* wallet = it == ledger.wallets.end() ? nullptr : &it->second;
-  measure(now, till, plan, dearest);
-  hear(now, till, plan, ledger, wallet);
-  close_what_ended(now, till, settings.max_held_back);
-  give_back(now, till, plan, members, dearest);
-  list_open(till);
-  write_ahead(now, till, plan);
-  send_back(now, till, book, out);
-  if (!closed_) take(now, till, plan, settings, book, members, floats, dearest, out);
-  for (const Held& held : till.held) {
-    (void)held;
-    MARBLEHUB_DEBUG_INVARIANT(
-        "wallet",
-        held.stage == Stage::empty || (held.reserved >= 0 && held.spent + held.reserved <= held.amount),
-        "a slice's reservations and debits come to more than its amount");
+  update_rates(now, budget, refill, max_price);
+  sync_with_ledger(now, budget, refill, ledger, wallet);
+  close_finished(now, budget, settings.max_held_back);
+  close_unneeded(now, budget, refill, members, max_price);
+  rebuild_open(budget);
+  write_ahead(now, budget, refill);
+  propose_returns(now, budget, record, out);
+  if (!closed_) request_slice(now, budget, refill, settings, record, members, prefetch, max_price, out);
+  for (const HeldSlice& slice : budget.slices) {
+    (void)slice;
+    MARBLEHUB_DEBUG_INVARIANT("wallet",
+                              slice.state == SliceState::empty ||
+                                  (slice.reserved >= 0 && slice.spent + slice.reserved <= slice.amount),
+                              "spent and reserved units exceed the slice's amount");
   }
 }
 
-bool Slices::busy(const Till& till, Time now) const {
-  if (now - till.last_asked < 2 * kSecond) return true;
-  return std::any_of(till.held.begin(), till.held.end(), [](const Held& held) {
-    return held.stage == Stage::closing || held.stage == Stage::returning || held.stage == Stage::lapsed;
+bool SliceManager::busy(const TenantBudget& budget, Time now) const {
+  if (now - budget.last_request < 2 * kSecond) return true;
+  return std::any_of(budget.slices.begin(), budget.slices.end(), [](const HeldSlice& slice) {
+    return slice.state == SliceState::closing || slice.state == SliceState::returning ||
+           slice.state == SliceState::expired;
   });
 }
 
-// The rate follows growth within a fifth of a second and forgets it within one.
-void Slices::measure(Time now, Till& till, Plan& plan, std::int64_t dearest) {
-  if (!plan.measured) plan.measured = now - 50 * kMillisecond;
-  Time passed = now - plan.measured;
-  if (passed < 20 * kMillisecond) return;
-  double seen = static_cast<double>(till.asked) * 1e6 / static_cast<double>(passed);
-  double within = seen > plan.rate ? 0.2e6 : 1e6;
-  plan.rate += (seen - plan.rate) * std::min(1.0, static_cast<double>(passed) / within);
-  double spent = static_cast<double>(till.taken) * 1e6 / static_cast<double>(passed);
-  plan.spending += (spent - plan.spending) * std::min(1.0, static_cast<double>(passed) / 0.2e6);
-  if (now - till.last_asked > kSecond) till.hungry = till.least = 0;
-  till.asked = till.taken = 0;
-  if (now - plan.dear_since > kDear) {
-    plan.dear = std::exchange(till.dear, 0);
-    plan.dear_since = now;
+// Smooths the demand over 0.2 s where it grows and over 1 s where it falls, the spending over 0.2 s.
+void SliceManager::update_rates(Time now, TenantBudget& budget, Refill& refill, std::int64_t max_price) {
+  if (!refill.measured_at) refill.measured_at = now - 50 * kMillisecond;
+  Time elapsed = now - refill.measured_at;
+  if (elapsed < 20 * kMillisecond) return;
+  double demand = static_cast<double>(budget.requested_units) * 1e6 / static_cast<double>(elapsed);
+  double window = demand > refill.demand_rate ? 0.2e6 : 1e6;
+  refill.demand_rate += (demand - refill.demand_rate) * std::min(1.0, static_cast<double>(elapsed) / window);
+  double spend = static_cast<double>(budget.reserved_units) * 1e6 / static_cast<double>(elapsed);
+  refill.spend_rate += (spend - refill.spend_rate) * std::min(1.0, static_cast<double>(elapsed) / 0.2e6);
+  if (now - budget.last_request > kSecond) budget.max_refused_price = budget.min_refused_price = 0;
+  budget.requested_units = budget.reserved_units = 0;
+  if (now - refill.window_start > kPriceWindow) {
+    refill.previous_max_price = std::exchange(budget.window_max_price, 0);
+    refill.window_start = now;
   }
-  plan.usual = std::max(plan.dear, till.dear);
-  if (plan.usual == 0) plan.usual = dearest;
-  plan.measured = now;
+  refill.recent_max_price = std::max(refill.previous_max_price, budget.window_max_price);
+  if (refill.recent_max_price == 0) refill.recent_max_price = max_price;
+  refill.measured_at = now;
 }
 
-void Slices::hear(Time now, Till& till, Plan& plan, const Ledger& ledger, const Wallet* wallet) {
-  till.totals.spent_here = till.spent_here;
+void SliceManager::sync_with_ledger(Time now, TenantBudget& budget, Refill& refill, const Ledger& ledger,
+                                    const Wallet* wallet) {
+  budget.totals.spent_here = budget.spent_here;
   if (!wallet) return;
   std::int64_t held_back = 0, out = 0;
   for (const auto& [id, amount] : wallet->held_back) held_back += amount;
   for (const auto& [id, slice] : wallet->out) out += slice.amount;
-  till.totals = {wallet->paid, wallet->balance, out, wallet->spent, held_back, till.spent_here};
+  budget.totals = {wallet->paid, wallet->balance, out, wallet->spent, held_back, budget.spent_here};
   MARBLEHUB_INVARIANT("wallet", wallet->paid == wallet->balance + out + wallet->spent,
-                      "a wallet's deposits are not its balance, slices and spending");
-  for (Held& held : till.held) {
-    if (held.stage == Stage::empty || wallet->out.count(held.id)) continue;
-    if (wallet->held_back.count(held.id)) {
-      // The leader took this process for gone. Nothing is spent of it any more; what was is told once exact.
-      if (!held.was_lapsed) held.stage = Stage::lapsed;
-      held.was_lapsed = true;
-    } else if (held.stage == Stage::returning) {
-      held = Held{};  // the record has it as it was sent back
+                      "a wallet's deposits differ from the sum of its balance, slices and spending");
+  for (HeldSlice& slice : budget.slices) {
+    if (slice.state == SliceState::empty || wallet->out.count(slice.id)) continue;
+    if (wallet->held_back.count(slice.id)) {
+      // The leader expired the slice. Nothing more is spent from it; its spending is reported once it is
+      // final.
+      if (!slice.was_expired) slice.state = SliceState::expired;
+      slice.was_expired = true;
+    } else if (slice.state == SliceState::returning) {
+      slice = HeldSlice{};  // the record has applied the return
     }
   }
-  if (plan.asked_for.empty()) return;
-  auto slice = wallet->out.find(plan.asked_for);
-  if (slice != wallet->out.end()) adopt(now, till, slice->first, slice->second, plan);
-  auto last = ledger.last.find(terms_.name);
-  bool applied = last != ledger.last.end() && last->second.incarnation == terms_.incarnation &&
-                 last->second.number >= plan.command;
-  if (slice != wallet->out.end() || applied) plan.asked_for.clear();
+  if (refill.pending_slice.empty()) return;
+  auto granted = wallet->out.find(refill.pending_slice);
+  if (granted != wallet->out.end()) add_slice(now, budget, granted->first, granted->second, refill);
+  auto last = ledger.last.find(identity_.name);
+  bool applied = last != ledger.last.end() && last->second.incarnation == identity_.incarnation &&
+                 last->second.number >= refill.pending_command;
+  if (granted != wallet->out.end() || applied) refill.pending_slice.clear();
 }
 
-void Slices::adopt(Time now, Till& till, const std::string& id, const Slice& slice, const Plan& plan) {
-  auto free = std::find_if(till.held.begin(), till.held.end(),
-                           [](const Held& held) { return held.stage == Stage::empty; });
-  Held& held = free == till.held.end() ? till.held.emplace_back() : *free;
-  MARBLEHUB_INVARIANT("wallet", slice.amount <= plan.wanted, "a slice holds more than was asked for");
-  held = Held{};
-  held.id = id;
-  held.stage = closed_ ? Stage::closing : Stage::open;
-  held.amount = slice.amount;
-  held.allowed = slice.amount;
-  held.ends = slice.until - terms_.clock_bound;
-  held.since = now;
-  // Spent within the first line from the beginning: whether or not that line lasts, what it says is enough.
-  // Where older ones are ready it may wait with all but one unit.
-  if (journal_ && !closed_ && !disk_lags(now) && slice.amount >= kWorthALine) {
-    std::int64_t step = line_step(slice.amount, plan.rate, plan.usual);
-    held.allowed = till.left(now) > step ? 1 : std::min(slice.amount, 2 * step);
-    append(till, held, held.allowed);
+void SliceManager::add_slice(Time now, TenantBudget& budget, const std::string& id, const Slice& granted,
+                             const Refill& refill) {
+  auto free_slot = std::find_if(budget.slices.begin(), budget.slices.end(),
+                                [](const HeldSlice& slice) { return slice.state == SliceState::empty; });
+  HeldSlice& slice = free_slot == budget.slices.end() ? budget.slices.emplace_back() : *free_slot;
+  MARBLEHUB_INVARIANT("wallet", granted.amount <= refill.pending_amount,
+                      "a slice holds more units than were requested");
+  slice = HeldSlice{};
+  slice.id = id;
+  slice.state = closed_ ? SliceState::closing : SliceState::open;
+  slice.amount = granted.amount;
+  slice.spend_limit = granted.amount;
+  slice.expires = granted.until - identity_.clock_bound;
+  slice.acquired = now;
+  // Spending starts before the first line is durable: without a line, the slice counts as spent in full.
+  // Where other slices have enough, all but one unit wait until the line is durable.
+  if (journal_ && !closed_ && !journal_is_slow(now) && granted.amount >= kMinJournaledUnits) {
+    std::int64_t step = journal_step(granted.amount, refill.demand_rate, refill.recent_max_price);
+    slice.spend_limit = budget.available(now) > step ? 1 : std::min(granted.amount, 2 * step);
+    append_line(budget, slice, slice.spend_limit);
   }
-  till.hungry = till.least = 0;
+  budget.max_refused_price = budget.min_refused_price = 0;
 }
 
-bool Slices::disk_lags(Time now) const { return waiting_since_ && now - *waiting_since_ > kSlowDisk; }
+bool SliceManager::journal_is_slow(Time now) const {
+  return unsynced_since_ && now - *unsynced_since_ > kSlowSync;
+}
 
-void Slices::append(const Till& till, Held& held, std::int64_t spent) {
-  journal_->append({till.tenant, held.id, spent});
-  held.claimed = spent;
-  held.line = ++lines_;
+void SliceManager::append_line(const TenantBudget& budget, HeldSlice& slice, std::int64_t spent) {
+  journal_->append({budget.tenant, slice.id, spent});
+  slice.journaled = spent;
+  slice.line_number = ++lines_appended_;
 }
 
-// A line lasts before what it allows is spent, so the next is written while a step of the last is unspent.
-void Slices::write_ahead(Time now, Till& till, const Plan& plan) {
+// Appends a line while a step of the last one is unspent, so that it is durable before its units are needed.
+void SliceManager::write_ahead(Time now, TenantBudget& budget, const Refill& refill) {
   if (!journal_) return;
-  if (journal_->durable_lines() >= lines_)
-    waiting_since_.reset();
-  else if (!waiting_since_)
-    waiting_since_ = now;
-  std::int64_t ready = 0;  // what may be spent at once, this slice and those before it
-  for (std::uint32_t at : till.open) {
-    Held& held = till.held[at];
-    bool lasts = held.claimed && journal_->durable_lines() >= held.line;
-    if (lasts) held.allowed = held.claimed;
-    ready += held.left(now);
-    if (!lasts) continue;
-    std::int64_t used = held.spent + held.reserved;
-    std::int64_t step = line_step(held.amount, plan.rate, plan.usual);
-    if (held.allowed < held.amount && ready <= step)
-      append(till, held, std::min(held.amount, used + 2 * step));
+  if (journal_->durable_lines() >= lines_appended_)
+    unsynced_since_.reset();
+  else if (!unsynced_since_)
+    unsynced_since_ = now;
+  std::int64_t available = 0;  // in this slice and those that expire before it
+  for (std::uint32_t at : budget.open) {
+    HeldSlice& slice = budget.slices[at];
+    bool durable = slice.journaled && journal_->durable_lines() >= slice.line_number;
+    if (durable) slice.spend_limit = slice.journaled;
+    available += slice.available(now);
+    if (!durable) continue;
+    std::int64_t used = slice.spent + slice.reserved;
+    std::int64_t step = journal_step(slice.amount, refill.demand_rate, refill.recent_max_price);
+    if (slice.spend_limit < slice.amount && available <= step)
+      append_line(budget, slice, std::min(slice.amount, used + 2 * step));
   }
 }
 
-void Slices::close_what_ended(Time now, Till& till, std::int64_t max_held_back) {
-  std::size_t open = 0;
-  for (const Held& held : till.held) open += held.unspent(now) > 0;
-  // No further slice may be had that holds the call: what is too small for it is returned.
-  bool crowded = till.hungry > max_held_back - held_by(till);
-  for (Held& held : till.held) {
-    if (held.stage != Stage::open) continue;
-    Time near = std::min((held.ends - held.since) / 4, kSecond);
-    bool over = now >= held.ends || held.spent + held.reserved >= held.amount;
-    // Others are here to spend: what is near its end, or too small for the call that was refused, goes back.
-    if (!over && open > 1 && (now >= held.ends - near || (till.hungry && held.unspent(now) < till.hungry)))
-      over = true, --open;
-    over = over || (crowded && held.unspent(now) < till.hungry);
-    if (over) held.stage = Stage::closing;
+void SliceManager::close_finished(Time now, TenantBudget& budget, std::int64_t max_held_back) {
+  std::size_t open_count = 0;
+  for (const HeldSlice& slice : budget.slices) open_count += slice.unspent(now) > 0;
+  // The bound leaves no room for a slice that covers the refused call: slices too small for it are returned.
+  bool no_capacity = budget.max_refused_price > max_held_back - total_held(budget);
+  for (HeldSlice& slice : budget.slices) {
+    if (slice.state != SliceState::open) continue;
+    Time near_expiry = std::min((slice.expires - slice.acquired) / 4, kSecond);
+    bool finished = now >= slice.expires || slice.spent + slice.reserved >= slice.amount;
+    // Other slices are left to spend: one near its end, or too small for the refused call, is returned.
+    if (!finished && open_count > 1 &&
+        (now >= slice.expires - near_expiry ||
+         (budget.max_refused_price && slice.unspent(now) < budget.max_refused_price)))
+      finished = true, --open_count;
+    finished = finished || (no_capacity && slice.unspent(now) < budget.max_refused_price);
+    if (finished) slice.state = SliceState::closing;
   }
 }
 
-// The balance is out while slices stand here: others may need what this balancer will not spend soon.
-void Slices::give_back(Time now, Till& till, const Plan& plan, std::size_t members, std::int64_t dearest) {
-  if ((members < 2 && !till.least) || till.totals.balance >= dearest) return;
+// Closes slices that will not be spent soon while the balance is too low for other balancers to get one.
+void SliceManager::close_unneeded(Time now, TenantBudget& budget, const Refill& refill, std::size_t members,
+                                  std::int64_t max_price) {
+  if ((members < 2 && !budget.min_refused_price) || budget.totals.balance >= max_price) return;
   std::int64_t unspent = 0;
-  for (const Held& held : till.held) unspent += held.unspent(now);
-  for (Held& held : till.held) {
-    std::int64_t here = held.unspent(now);
-    if (here <= 0 || now - held.since < kUnhurried) continue;
-    if (static_cast<double>(unspent) <= plan.spending * 0.5) return;
-    held.stage = Stage::closing;
-    unspent -= here;
+  for (const HeldSlice& slice : budget.slices) unspent += slice.unspent(now);
+  for (HeldSlice& slice : budget.slices) {
+    std::int64_t slice_unspent = slice.unspent(now);
+    if (slice_unspent <= 0 || now - slice.acquired < kMinHoldTime) continue;
+    if (static_cast<double>(unspent) <= refill.spend_rate * 0.5) return;
+    slice.state = SliceState::closing;
+    unspent -= slice_unspent;
   }
 }
 
-void Slices::list_open(Till& till) {
-  till.open.clear();
-  for (std::uint32_t at = 0; at < till.held.size(); ++at)
-    if (till.held[at].stage == Stage::open) till.open.push_back(at);
-  std::sort(till.open.begin(), till.open.end(), [&](std::uint32_t one, std::uint32_t other) {
-    return till.held[one].ends < till.held[other].ends;
+void SliceManager::rebuild_open(TenantBudget& budget) {
+  budget.open.clear();
+  for (std::uint32_t at = 0; at < budget.slices.size(); ++at)
+    if (budget.slices[at].state == SliceState::open) budget.open.push_back(at);
+  std::sort(budget.open.begin(), budget.open.end(), [&](std::uint32_t one, std::uint32_t other) {
+    return budget.slices[one].expires < budget.slices[other].expires;
   });
 }
 
-void Slices::send_back(Time now, Till& till, RecordInterface& book, Outbox& out) {
-  for (Held& held : till.held) {
-    if ((held.stage != Stage::closing && held.stage != Stage::lapsed) || held.reserved) continue;
-    if (journal_ && held.spent < held.amount) append(till, held, held.spent);
-    if (held.stage == Stage::lapsed)
-      book.propose(now, FoundSpent{till.tenant, held.id, held.spent}, out);
+void SliceManager::propose_returns(Time now, TenantBudget& budget, RecordInterface& record, Outbox& out) {
+  for (HeldSlice& slice : budget.slices) {
+    if ((slice.state != SliceState::closing && slice.state != SliceState::expired) || slice.reserved)
+      continue;
+    if (journal_ && slice.spent < slice.amount) append_line(budget, slice, slice.spent);
+    if (slice.state == SliceState::expired)
+      record.propose(now, FoundSpent{budget.tenant, slice.id, slice.spent}, out);
     else
-      book.propose(now, ReturnSlice{till.tenant, held.id, held.spent}, out);
-    held.was_lapsed = held.stage == Stage::lapsed;
-    held.stage = Stage::returning;
+      record.propose(now, ReturnSlice{budget.tenant, slice.id, slice.spent}, out);
+    slice.was_expired = slice.state == SliceState::expired;
+    slice.state = SliceState::returning;
   }
 }
 
-void Slices::take(Time now, Till& till, Plan& plan, const WalletSettings& settings, RecordInterface& book,
-                  std::size_t members, bool floats, std::int64_t dearest, Outbox& out) {
-  std::int64_t balance = till.totals.balance;
-  till.out = balance < std::max<std::int64_t>(1, till.least);
-  till.most = balance;
-  for (const Held& slice : till.held) till.most = std::max(till.most, slice.unspent(now));
-  if (balance == 0 || !plan.asked_for.empty()) {
-    plan.ask_at.reset();
+void SliceManager::request_slice(Time now, TenantBudget& budget, Refill& refill,
+                                 const WalletSettings& settings, RecordInterface& record, std::size_t members,
+                                 bool prefetch, std::int64_t max_price, Outbox& out) {
+  std::int64_t balance = budget.totals.balance;
+  budget.exhausted = balance < std::max<std::int64_t>(1, budget.min_refused_price);
+  budget.max_affordable = balance;
+  for (const HeldSlice& slice : budget.slices)
+    budget.max_affordable = std::max(budget.max_affordable, slice.unspent(now));
+  if (balance == 0 || !refill.pending_slice.empty()) {
+    refill.request_at.reset();
     return;
   }
-  auto others = static_cast<std::int64_t>(members);
-  std::int64_t capacity = settings.max_held_back - held_by(till);
-  // Low: so little that what each would hold in store is missed elsewhere. It is drawn call by call.
-  bool low = balance < 4 * others * plan.usual;
-  std::int64_t least = plan.usual;
-  if (till.hungry) least = till.hungry <= std::min(balance, capacity) ? till.hungry : till.least;
+  auto member_count = static_cast<std::int64_t>(members);
+  std::int64_t capacity = settings.max_held_back - total_held(budget);
+  // A low balance is requested call by call, since units held in reserve here would be missing elsewhere.
+  bool low = balance < 4 * member_count * refill.recent_max_price;
+  std::int64_t min_amount = refill.recent_max_price;
+  if (budget.max_refused_price)
+    min_amount = budget.max_refused_price <= std::min(balance, capacity) ? budget.max_refused_price
+                                                                         : budget.min_refused_price;
   Time ahead = low ? std::min(settings.ahead, 250 * kMillisecond) : settings.ahead;
-  auto target = static_cast<std::int64_t>(plan.rate * static_cast<double>(ahead) / 1e6);
-  bool recent = now - till.last_asked < kRecent;
-  if (!low && (recent || (floats && balance >= 20 * others * dearest))) target = std::max(target, plan.usual);
+  auto target = static_cast<std::int64_t>(refill.demand_rate * static_cast<double>(ahead) / 1e6);
+  bool active = now - budget.last_request < kActiveWindow;
+  if (!low && (active || (prefetch && balance >= 20 * member_count * max_price)))
+    target = std::max(target, refill.recent_max_price);
   std::int64_t unspent = 0;
-  for (const Held& slice : till.held) {
-    Time near = std::min((slice.ends - slice.since) / 4, kSecond);
-    if (now < slice.ends - near) unspent += disk_lags(now) ? slice.left(now) : slice.unspent(now);
+  for (const HeldSlice& slice : budget.slices) {
+    Time near_expiry = std::min((slice.expires - slice.acquired) / 4, kSecond);
+    if (now < slice.expires - near_expiry)
+      unspent += journal_is_slow(now) ? slice.available(now) : slice.unspent(now);
   }
-  bool needed = till.hungry > 0 || (target >= least && unspent * 2 < target);
-  std::int64_t fair = std::max(least, balance / std::max<std::int64_t>(8, 2 * others));
-  std::int64_t wanted = std::min({std::max(target - unspent, low ? least : 4 * least), fair, capacity});
-  if (!needed || wanted < least || balance < least) {
-    plan.ask_at.reset();
+  bool needed = budget.max_refused_price > 0 || (target >= min_amount && unspent * 2 < target);
+  std::int64_t fair_share = std::max(min_amount, balance / std::max<std::int64_t>(8, 2 * member_count));
+  std::int64_t wanted =
+      std::min({std::max(target - unspent, low ? min_amount : 4 * min_amount), fair_share, capacity});
+  if (!needed || wanted < min_amount || balance < min_amount) {
+    refill.request_at.reset();
     return;
   }
-  // Where many ask for little, chance spreads them: the first have it all before the others have asked.
-  if (!plan.ask_at) {
-    Time spread = low ? std::min(500 * kMillisecond, others * least * 10 * kMillisecond / balance) : 0;
-    plan.ask_at = now + static_cast<Time>(chance_() % static_cast<std::uint64_t>(spread + 1));
+  // Requests for a low balance are delayed at random, so that not all balancers request at once.
+  if (!refill.request_at) {
+    Time spread =
+        low ? std::min(500 * kMillisecond, member_count * min_amount * 10 * kMillisecond / balance) : 0;
+    refill.request_at = now + static_cast<Time>(rng_() % static_cast<std::uint64_t>(spread + 1));
   }
-  if (now < *plan.ask_at) return;
-  plan.ask_at.reset();
-  plan.asked_for = terms_.name + "/" + std::to_string(terms_.incarnation) + "/" + std::to_string(++taken_);
-  plan.wanted = wanted;
-  MARBLEHUB_INVARIANT("wallet", held_by(till) + wanted <= settings.max_held_back,
-                      "more is asked for than may be held back");
-  plan.command = book.propose(now,
-                              TakeSlice{till.tenant, plan.asked_for, terms_.name, terms_.incarnation, wanted,
-                                        now + settings.term, least},
-                              out);
+  if (now < *refill.request_at) return;
+  refill.request_at.reset();
+  refill.pending_slice = identity_.name + "/" + std::to_string(identity_.incarnation) + "/" +
+                         std::to_string(++slices_requested_);
+  refill.pending_amount = wanted;
+  MARBLEHUB_INVARIANT("wallet", total_held(budget) + wanted <= settings.max_held_back,
+                      "a slice request exceeds the bound on held back units");
+  refill.pending_command =
+      record.propose(now,
+                     TakeSlice{budget.tenant, refill.pending_slice, identity_.name, identity_.incarnation,
+                               wanted, now + settings.term, min_amount},
+                     out);
 }
 
-void Slices::close_all(Till& till) {
+void SliceManager::close_all(TenantBudget& budget) {
   closed_ = true;
-  for (Held& held : till.held)
-    if (held.stage == Stage::open) held.stage = Stage::closing;
-  list_open(till);
+  for (HeldSlice& slice : budget.slices)
+    if (slice.state == SliceState::open) slice.state = SliceState::closing;
+  rebuild_open(budget);
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/wallet/slices.h
+++ b/src/fleet/wallet/slices.h
@@ -1,5 +1,5 @@
-// Which slices this balancer takes, keeps and gives back, and what it hears of them from the record. Stepped
-// off the call's way.
+// Requests slices from the record, keeps their journal lines ahead of spending, and returns what is unspent.
+// Runs in the wallet's periodic step, never on the path of a call.
 #pragma once
 
 #include <map>
@@ -13,51 +13,63 @@
 
 namespace marblehub::fleet {
 
-class Slices {
+/// Manages this balancer's slices of all wallets; the slices themselves are stored in each TenantBudget.
+class SliceManager {
  public:
-  struct Terms {
+  /// The process that slices are granted to, and the fleet's clock error bound in microseconds.
+  struct Identity {
     std::string name;  // of this balancer
     std::uint64_t incarnation = 0;
     Time clock_bound = 0;
   };
-  Slices(Terms terms, Journal* journal, std::uint64_t seed);
+  /// `journal` is not owned and may be null; it has to outlive this object. `seed`: of the random generator.
+  SliceManager(Identity identity, Journal* journal, std::uint64_t seed);
 
-  // One wallet's turn. `members`: balancers that are there; `floats`: a small slice is held even where no
-  // call came lately, so that the first one finds it.
-  void step(Time now, Till& till, const WalletSettings& settings, RecordInterface& book, std::size_t members,
-            bool floats, std::int64_t dearest, Outbox& out);
-  void close_all(Till& till);  // nothing is taken any more, all unspent goes back
-  bool busy(const Till& till, Time now) const;
+  /// Runs one step for one wallet. `members`: number of balancers in the view. `prefetch`: a small slice is
+  /// held even while no calls arrive, so that the first call finds one. `max_price`: of all classes.
+  void step(Time now, TenantBudget& budget, const WalletSettings& settings, RecordInterface& record,
+            std::size_t members, bool prefetch, std::int64_t max_price, Outbox& out);
+  /// Closes every slice of the wallet; from here on no slice is requested for any wallet.
+  void close_all(TenantBudget& budget);
+  /// Whether the wallet had calls in the last 2 s or has slices to return, and so needs the short interval.
+  bool busy(const TenantBudget& budget, Time now) const;
 
  private:
-  struct Plan {                        // of one wallet
-    double rate = 0, spending = 0;     // units a second: asked for, reserved
-    std::int64_t dear = 0, usual = 0;  // the dearest call of the last 5 to 10 s, or of all where none came
-    Time measured = 0, dear_since = 0;
-    std::string asked_for;  // the slice that was asked for; empty: none
-    std::uint64_t command = 0;
-    std::int64_t wanted = 0;
-    std::optional<Time> ask_at;
+  /// Demand for one wallet at this balancer, and its slice request that the record has not applied yet.
+  struct Refill {
+    double demand_rate = 0, spend_rate = 0;  // units a second: requested by calls, reserved
+    // Highest price requested: in the last full price window; in the last 5 to 10 s, or of all classes where
+    // no call came.
+    std::int64_t previous_max_price = 0, recent_max_price = 0;
+    Time measured_at = 0, window_start = 0;
+    std::string pending_slice;  // id of the requested slice; empty: no request
+    std::uint64_t pending_command = 0;
+    std::int64_t pending_amount = 0;
+    std::optional<Time> request_at;  // random delay before the next request
   };
-  void measure(Time now, Till& till, Plan& plan, std::int64_t dearest);
-  void hear(Time now, Till& till, Plan& plan, const Ledger& ledger, const Wallet* wallet);
-  void adopt(Time now, Till& till, const std::string& id, const Slice& slice, const Plan& plan);
-  void write_ahead(Time now, Till& till, const Plan& plan);
-  void close_what_ended(Time now, Till& till, std::int64_t max_held_back);
-  void give_back(Time now, Till& till, const Plan& plan, std::size_t members, std::int64_t dearest);
-  void send_back(Time now, Till& till, RecordInterface& book, Outbox& out);
-  void take(Time now, Till& till, Plan& plan, const WalletSettings& settings, RecordInterface& book,
-            std::size_t members, bool floats, std::int64_t dearest, Outbox& out);
-  void append(const Till& till, Held& held, std::int64_t spent);
-  bool disk_lags(Time now) const;
-  static void list_open(Till& till);
+  void update_rates(Time now, TenantBudget& budget, Refill& refill, std::int64_t max_price);
+  void sync_with_ledger(Time now, TenantBudget& budget, Refill& refill, const Ledger& ledger,
+                        const Wallet* wallet);
+  void add_slice(Time now, TenantBudget& budget, const std::string& id, const Slice& granted,
+                 const Refill& refill);
+  void write_ahead(Time now, TenantBudget& budget, const Refill& refill);
+  void close_finished(Time now, TenantBudget& budget, std::int64_t max_held_back);
+  void close_unneeded(Time now, TenantBudget& budget, const Refill& refill, std::size_t members,
+                      std::int64_t max_price);
+  void propose_returns(Time now, TenantBudget& budget, RecordInterface& record, Outbox& out);
+  void request_slice(Time now, TenantBudget& budget, Refill& refill, const WalletSettings& settings,
+                     RecordInterface& record, std::size_t members, bool prefetch, std::int64_t max_price,
+                     Outbox& out);
+  void append_line(const TenantBudget& budget, HeldSlice& slice, std::int64_t spent);
+  bool journal_is_slow(Time now) const;
+  static void rebuild_open(TenantBudget& budget);
 
-  Terms terms_;
+  Identity identity_;
   Journal* journal_;
-  std::mt19937_64 chance_;
-  std::map<std::string, Plan> plans_;
-  std::uint64_t taken_ = 0, lines_ = 0;
-  std::optional<Time> waiting_since_;  // for a line to last
+  std::mt19937_64 rng_;
+  std::map<std::string, Refill> refills_;
+  std::uint64_t slices_requested_ = 0, lines_appended_ = 0;
+  std::optional<Time> unsynced_since_;  // since when an appended line is not yet durable
   bool closed_ = false;
 };
 
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -10,104 +10,105 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr Time kTurn = 50 * kMillisecond;        // between steps while calls come; idle: four times as much
-constexpr Time kLeast = 10 * kMillisecond;       // so many changes of the record are taken in one step
-constexpr std::size_t kFloats = 500;             // wallets x balancers up to which each holds a little ready
-constexpr Time kOfferSpread = 5 * kMillisecond;  // times the balancers, over which they offer a deposit
+constexpr Time kStepInterval = 50 * kMillisecond;     // while calls arrive; four times as long when idle
+constexpr Time kMinStepInterval = 10 * kMillisecond;  // changes of the record in it share one step
+constexpr std::size_t kMaxPrefetched = 500;        // wallets x balancers: beyond it idle wallets hold nothing
+constexpr Time kDepositSpread = 5 * kMillisecond;  // per balancer, of the delay before deposits are proposed
 
 }  // namespace
 
-// A wallet's till and slices; what is asked of all wallets at once is here.
+// All wallets' budgets and slices, and what is proposed for the fleet: deposits, expiry, recovered spending.
 struct Wallets::State {
-  State(const Settings& fleet, WalletSettings from, Journal* journal, std::uint64_t own, std::uint64_t seed)
-      : settings(std::move(from)),
+  State(const Settings& fleet, WalletSettings initial, Journal* journal, std::uint64_t own_incarnation,
+        std::uint64_t seed)
+      : settings(std::move(initial)),
         name(fleet.name),
-        incarnation(own),
+        incarnation(own_incarnation),
         clock_bound(fleet.clock_bound),
-        slices({fleet.name, own, fleet.clock_bound}, journal, seed),
-        chance(seed ^ 0x9e3779b97f4a7c15) {
+        slices({fleet.name, own_incarnation, fleet.clock_bound}, journal, seed),
+        rng(seed ^ 0x9e3779b97f4a7c15) {
     if (journal)
-      for (Journal::Line& line : journal->load()) found[{line.wallet, line.slice}] = line.spent;
+      for (Journal::Line& line : journal->load()) recovered[{line.wallet, line.slice}] = line.spent;
     apply_settings();
   }
 
   void apply_settings() {
-    tills.prices(settings);
-    for (const auto& [tenant, deposits] : settings.deposits) tills.open(tenant);
-    offers_at.reset();
+    budgets.configure(settings);
+    for (const auto& [tenant, deposits] : settings.deposits) budgets.get_or_create(tenant);
+    propose_at.reset();
     due = 0;
   }
 
   Time spread(Time from, Time to) {
-    return from + static_cast<Time>(chance() % static_cast<std::uint64_t>(to - from + 1));
+    return from + static_cast<Time>(rng() % static_cast<std::uint64_t>(to - from + 1));
   }
 
-  void step(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out);
-  void offer(Time now, RecordInterface& book, std::size_t members, Outbox& out);
-  void lapse(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out);
-  void tell_found(Time now, RecordInterface& book, Outbox& out);
+  void step(Time now, RecordInterface& record, const std::vector<std::string>& alive, Outbox& out);
+  void propose_deposits(Time now, RecordInterface& record, std::size_t members, Outbox& out);
+  void expire_slices(Time now, RecordInterface& record, const std::vector<std::string>& alive, Outbox& out);
+  void report_recovered(Time now, RecordInterface& record, Outbox& out);
 
   WalletSettings settings;
   std::string name;
   std::uint64_t incarnation;
   Time clock_bound;
-  Tills tills;
-  Slices slices;
-  std::mt19937_64 chance;
-  std::map<std::pair<std::string, std::string>, std::int64_t> found;  // the journal's lines, not yet told
-  std::set<std::pair<std::string, std::string>> offered, lapsing;
-  std::optional<Time> offers_at;
+  TenantBudgets budgets;
+  SliceManager slices;
+  std::mt19937_64 rng;
+  std::map<std::pair<std::string, std::string>, std::int64_t> recovered;  // journal lines not yet reported
+  std::set<std::pair<std::string, std::string>> proposed, expiring;
+  std::optional<Time> propose_at;
   std::string deposit_error;
-  std::uint64_t applied = 0;
-  Time due = 0, stepped = -kSecond;
-  bool settling = false;
+  std::uint64_t seen_applied = 0;
+  Time due = 0, last_step = -kSecond;
+  bool returning_all = false;
 };
 
-void Wallets::State::step(Time now, RecordInterface& book, const std::vector<std::string>& alive,
+void Wallets::State::step(Time now, RecordInterface& record, const std::vector<std::string>& alive,
                           Outbox& out) {
-  const Ledger& ledger = book.ledger();
-  if (now < due && now >= stepped) {
-    if (ledger.applied == applied) return;
-    if (now - stepped < kLeast) {
-      due = std::min(due, stepped + kLeast);
+  const Ledger& ledger = record.ledger();
+  if (now < due && now >= last_step) {
+    if (ledger.applied == seen_applied) return;
+    if (now - last_step < kMinStepInterval) {
+      due = std::min(due, last_step + kMinStepInterval);
       return;
     }
   }
-  applied = ledger.applied;
-  stepped = now;
-  for (const auto& [tenant, wallet] : ledger.wallets) tills.open(tenant);
+  seen_applied = ledger.applied;
+  last_step = now;
+  for (const auto& [tenant, wallet] : ledger.wallets) budgets.get_or_create(tenant);
   std::size_t members = std::max<std::size_t>(1, alive.size());
-  bool floats = members * ledger.wallets.size() <= kFloats;
+  bool prefetch = members * ledger.wallets.size() <= kMaxPrefetched;
   bool busy = false;
-  for (Till& till : tills.all()) {
-    slices.step(now, till, settings, book, members, floats, tills.dearest(), out);
-    busy |= slices.busy(till, now);
+  for (TenantBudget& budget : budgets.all()) {
+    slices.step(now, budget, settings, record, members, prefetch, budgets.max_price(), out);
+    busy |= slices.busy(budget, now);
   }
-  if (!settling) offer(now, book, members, out);
-  // At SIGTERM no view is handed in; who is gone is the next leader's to say.
-  if (book.is_leader() && !alive.empty())
-    lapse(now, book, alive, out);
+  if (!returning_all) propose_deposits(now, record, members, out);
+  // During shutdown `alive` is empty: expiring slices is left to the next leader.
+  if (record.is_leader() && !alive.empty())
+    expire_slices(now, record, alive, out);
   else
-    lapsing.clear();
-  tell_found(now, book, out);
-  due = now + (busy ? kTurn : 4 * kTurn);
-  if (offers_at && *offers_at > now) due = std::min(due, *offers_at);
+    expiring.clear();
+  report_recovered(now, record, out);
+  due = now + (busy ? kStepInterval : 4 * kStepInterval);
+  if (propose_at && *propose_at > now) due = std::min(due, *propose_at);
 }
 
-// Every balancer has the file, so chance decides who is first; the others see it applied before their turn.
-void Wallets::State::offer(Time now, RecordInterface& book, std::size_t members, Outbox& out) {
-  const Ledger& ledger = book.ledger();
-  if (!offers_at) {
-    Time most = std::min<Time>(300 * kMillisecond, static_cast<Time>(members) * kOfferSpread);
-    offers_at = now + (members > 1 ? spread(0, most) : 0);
+// Every balancer has the same file. A random delay lets one propose first; the others then see it applied.
+void Wallets::State::propose_deposits(Time now, RecordInterface& record, std::size_t members, Outbox& out) {
+  const Ledger& ledger = record.ledger();
+  if (!propose_at) {
+    Time max_delay = std::min<Time>(300 * kMillisecond, static_cast<Time>(members) * kDepositSpread);
+    propose_at = now + (members > 1 ? spread(0, max_delay) : 0);
   }
-  if (now < *offers_at) return;
+  if (now < *propose_at) return;
   bool all = true;
   for (const auto& [tenant, deposits] : settings.deposits) {
     auto wallet = ledger.wallets.find(tenant);
     for (const auto& [id, amount] : deposits)
       all = all && ((wallet != ledger.wallets.end() && wallet->second.deposits.count(id)) ||
-                    offered.count({tenant, id}));
+                    proposed.count({tenant, id}));
   }
   if (all) return;
   try {
@@ -121,52 +122,54 @@
     auto wallet = ledger.wallets.find(tenant);
     for (const auto& [id, amount] : deposits) {
       if (wallet != ledger.wallets.end() && wallet->second.deposits.count(id)) continue;
-      if (offered.emplace(tenant, id).second) book.propose(now, Deposit{tenant, id, amount}, out);
+      if (proposed.emplace(tenant, id).second) record.propose(now, Deposit{tenant, id, amount}, out);
     }
   }
 }
 
-// The leader's: what is over by everybody's clock and whose holder is gone, began anew, or is long silent.
-void Wallets::State::lapse(Time now, RecordInterface& book, const std::vector<std::string>& alive,
-                           Outbox& out) {
-  const Ledger& ledger = book.ledger();
-  std::set<std::string> there(alive.begin(), alive.end());
-  std::set<std::pair<std::string, std::string>> still;
+// On the leader: expires slices whose term is over by every clock and whose holder is gone, has restarted, or
+// has not returned them for another term.
+void Wallets::State::expire_slices(Time now, RecordInterface& record, const std::vector<std::string>& alive,
+                                   Outbox& out) {
+  const Ledger& ledger = record.ledger();
+  std::set<std::string> present(alive.begin(), alive.end());
+  std::set<std::pair<std::string, std::string>> still_expiring;
   for (const auto& [tenant, wallet] : ledger.wallets)
     for (const auto& [id, slice] : wallet.out) {
       if (now <= slice.until + clock_bound) continue;
       auto last = ledger.last.find(slice.holder);
-      bool anew = last != ledger.last.end() && last->second.incarnation > slice.incarnation;
+      bool restarted = last != ledger.last.end() && last->second.incarnation > slice.incarnation;
       bool silent = now > slice.until + clock_bound + settings.term;
-      if (there.count(slice.holder) && !anew && !silent) continue;
-      if (!lapsing.count({tenant, id})) book.propose(now, LapseSlice{tenant, id}, out);
-      still.emplace(tenant, id);
+      if (present.count(slice.holder) && !restarted && !silent) continue;
+      if (!expiring.count({tenant, id})) record.propose(now, LapseSlice{tenant, id}, out);
+      still_expiring.emplace(tenant, id);
     }
-  lapsing = std::move(still);
+  expiring = std::move(still_expiring);
 }
 
-// What the process before this one wrote of its slices, once the record counts them as lapsed.
-void Wallets::State::tell_found(Time now, RecordInterface& book, Outbox& out) {
-  const Ledger& ledger = book.ledger();
-  // Once one of this process's commands is applied, no slice of the one before can still come to light.
+// Reports the spending that the previous process journaled, once the slices are expired or their term is
+// over.
+void Wallets::State::report_recovered(Time now, RecordInterface& record, Outbox& out) {
+  const Ledger& ledger = record.ledger();
+  // Once a command of this incarnation is applied, no slice can be granted to the previous process any more.
   auto last = ledger.last.find(name);
-  bool whole = last != ledger.last.end() && last->second.incarnation == incarnation;
-  for (auto it = found.begin(); it != found.end();) {
+  bool complete = last != ledger.last.end() && last->second.incarnation == incarnation;
+  for (auto it = recovered.begin(); it != recovered.end();) {
     const auto& [tenant, id] = it->first;
     auto wallet = ledger.wallets.find(tenant);
-    bool sure = false, gone = whole;
+    bool confirmed = false, obsolete = complete;
     if (wallet != ledger.wallets.end()) {
       auto slice = wallet->second.out.find(id);
-      gone = whole && slice == wallet->second.out.end() && !wallet->second.held_back.count(id);
-      // The process before may only sleep: its slice's term is awaited, as everybody does.
-      sure = slice == wallet->second.out.end() ? wallet->second.held_back.count(id) > 0
-                                               : now > slice->second.until + clock_bound;
+      obsolete = complete && slice == wallet->second.out.end() && !wallet->second.held_back.count(id);
+      // The previous process may only be suspended, so its slice's term has to be over.
+      confirmed = slice == wallet->second.out.end() ? wallet->second.held_back.count(id) > 0
+                                                    : now > slice->second.until + clock_bound;
     }
-    if (sure) {
-      book.propose(now, FoundSpent{tenant, id, it->second}, out);
-      it = found.erase(it);
-    } else if (gone) {
-      it = found.erase(it);
+    if (confirmed) {
+      record.propose(now, FoundSpent{tenant, id, it->second}, out);
+      it = recovered.erase(it);
+    } else if (obsolete) {
+      it = recovered.erase(it);
     } else {
       ++it;
     }
@@ -183,28 +186,29 @@
 
 ReserveResult Wallets::reserve(Time now, std::string_view tenant, std::string_view service_class,
                                Reservation& into) {
-  return state_->tills.reserve(now, tenant, service_class, into);
+  return state_->budgets.reserve(now, tenant, service_class, into);
 }
-void Wallets::commit(const Reservation& reservation) { state_->tills.commit(reservation); }
-void Wallets::release(const Reservation& reservation) { state_->tills.release(reservation); }
+void Wallets::commit(const Reservation& reservation) { state_->budgets.commit(reservation); }
+void Wallets::release(const Reservation& reservation) { state_->budgets.release(reservation); }
 
-void Wallets::step(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out) {
-  state_->step(now, book, alive, out);
+void Wallets::step(Time now, RecordInterface& record, const std::vector<std::string>& alive, Outbox& out) {
+  state_->step(now, record, alive, out);
 }
 
-void Wallets::return_all(Time now, RecordInterface& book, Outbox& out) {
-  state_->settling = true;
-  state_->tills.close();
-  for (Till& till : state_->tills.all()) state_->slices.close_all(till);
+void Wallets::return_all(Time now, RecordInterface& record, Outbox& out) {
+  state_->returning_all = true;
+  state_->budgets.close();
+  for (TenantBudget& budget : state_->budgets.all()) state_->slices.close_all(budget);
   state_->due = now;
-  state_->step(now, book, {}, out);
+  state_->step(now, record, {}, out);
 }
 
 bool Wallets::all_returned() const {
-  auto empty = [](const Held& held) { return held.stage == Stage::empty; };
-  return std::all_of(state_->tills.all().begin(), state_->tills.all().end(), [&](const Till& till) {
-    return std::all_of(till.held.begin(), till.held.end(), empty);
-  });
+  auto empty = [](const HeldSlice& slice) { return slice.state == SliceState::empty; };
+  return std::all_of(state_->budgets.all().begin(), state_->budgets.all().end(),
+                     [&](const TenantBudget& budget) {
+                       return std::all_of(budget.slices.begin(), budget.slices.end(), empty);
+                     });
 }
 
 void Wallets::update_settings(WalletSettings settings) {
@@ -215,22 +219,23 @@
 Time Wallets::next_due() const { return state_->due; }
 
 bool Wallets::paused(std::string_view tenant) const {
-  const Till* till = state_->tills.find(tenant);
-  return till && till->out && till->left(state_->stepped) == 0;
+  const TenantBudget* budget = state_->budgets.find(tenant);
+  return budget && budget->exhausted && budget->available(state_->last_step) == 0;
 }
 
 Time Wallets::retry_after(Time) {
   Time pause = state_->settings.pause;
-  return state_->tills.hope() ? state_->spread(pause / 8, pause / 4) : state_->spread(pause / 2, pause);
+  return state_->budgets.refill_possible() ? state_->spread(pause / 8, pause / 4)
+                                           : state_->spread(pause / 2, pause);
 }
 
 const std::string& Wallets::deposit_error() const { return state_->deposit_error; }
 
 Wallets::Totals Wallets::totals(std::string_view tenant) const {
-  const Till* till = state_->tills.find(tenant);
-  if (!till) return {};
-  Totals totals = till->totals;
-  totals.spent_here = till->spent_here;
+  const TenantBudget* budget = state_->budgets.find(tenant);
+  if (!budget) return {};
+  Totals totals = budget->totals;
+  totals.spent_here = budget->spent_here;
   return totals;
 }
 
