--- a/src/fleet/wallet/settings.cpp
+++ b/src/fleet/wallet/settings.cpp
@@ -10,34 +10,34 @@
 
 using config::Options;
 
-std::int64_t units(const Options& options, const std::string& key, std::int64_t least) {
+std::int64_t units(const Options& options, const std::string& key, std::int64_t min) {
   auto value = config::number_in<std::int64_t>(options.text(key));
-  if (!value || *value < least || *value > kMostUnits)
-    options.refuse(key, fmt::format("whole units, {} to 2^53", least));
+  if (!value || *value < min || *value > kMostUnits)
+    options.refuse(key, fmt::format("whole units, {} to 2^53", min));
   return *value;
 }
 
 const std::string& name(const Options& options, const std::string& key) {
   const std::string& text = options.text(key);
-  if (text.empty() || text.size() > 128) options.refuse(key, "a name of 1 to 128 octets");
+  if (text.empty() || text.size() > 128) options.refuse(key, "a name of 1 to 128 bytes");
   return text;
 }
 
-Time duration(const Options& options, const char* key, double unit, double least, double most, Time absent) {
+Time duration(const Options& options, const char* key, double unit, double min, double max, Time absent) {
   if (!options.find(key)) return absent;
-  double value = options.number<double>(key, least);
-  if (value > most) options.refuse(key, fmt::format("{} at most", most));
+  double value = options.number<double>(key, min);
+  if (value > max) options.refuse(key, fmt::format("{} at most", max));
   return static_cast<Time>(value * unit);
 }
 
-// A list of objects, or the empty list, which flattens to an empty value.
-std::size_t length(const Options& options, const std::string& list, std::size_t most) {
+// The length of a list of objects; an empty list flattens to an empty value.
+std::size_t length(const Options& options, const std::string& list, std::size_t max) {
   if (const std::string* empty = options.find(list)) {
     if (!empty->empty()) options.refuse(list, "a list of objects");
     return 0;
   }
   auto count = options.number_or<std::size_t>(list + ".count", 0, 0);
-  if (count > most) options.refuse(list, fmt::format("{} at most", most));
+  if (count > max) options.refuse(list, fmt::format("{} at most", max));
   return count;
 }
 
@@ -50,14 +50,14 @@
   s.term = duration(options, "term_s", 1e6, 1, 600, s.term);
   s.ahead = duration(options, "ahead_s", 1e6, 0.05, 60, s.ahead);
   s.pause = duration(options, "pause_ms", 1e3, 100, 60'000, s.pause);
-  if (s.ahead * 2 > s.term) options.refuse("ahead_s", "half of term_s at most");
+  if (s.ahead * 2 > s.term) options.refuse("ahead_s", "at most half of term_s");
   if (options.find("held_back_most")) s.max_held_back = units(options, "held_back_most", 1);
   std::size_t prices = length(options, "prices", 1024);
   for (std::size_t i = 0; i < prices; ++i) {
     std::string path = fmt::format("prices.{}.", i);
     std::int64_t price = units(options, path + "units", 0);
     if (price > s.max_held_back)
-      options.refuse(path + "units", "held_back_most at most: no slice would hold such a call");
+      options.refuse(path + "units", "at most held_back_most: no slice could cover such a call");
     const std::string& priced = name(options, path + "class");
     if (!classes.empty() && std::find(classes.begin(), classes.end(), priced) == classes.end())
       options.refuse(path + "class", "a class of the start file, not \"" + priced + "\"");
@@ -72,7 +72,7 @@
     if (!s.deposits[wallet].emplace(name(options, path + "id"), amount).second)
       options.refuse(path + "id", "each id once in a wallet");
     std::int64_t& sum = sums[wallet];
-    if (amount > kMostUnits - sum) options.refuse(path + "units", "a sum of 2^53 at most in a wallet");
+    if (amount > kMostUnits - sum) options.refuse(path + "units", "a sum of at most 2^53 in a wallet");
     sum += amount;
   }
   std::vector<std::string> unread = options.unread();
@@ -86,12 +86,12 @@
     if (it == ledger.wallets.end()) continue;
     std::int64_t sum = 0;
     for (const auto& [id, amount] : deposits) sum += amount;
-    std::int64_t gone = it->second.paid - it->second.balance;  // spent, held back or in slices
-    if (sum < gone)
+    std::int64_t used = it->second.paid - it->second.balance;  // spent, held back or in slices
+    if (sum < used)
       throw config::DecodeError(
           fmt::format("{}setting deposits of {}: expected a sum of {} or more, which is spent or in slices, "
                       "not {}",
-                      place, tenant, gone, sum));
+                      place, tenant, used, sum));
   }
 }
 
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -1,4 +1,5 @@
-// A prepaid wallet of calls: slices of it are taken from the record and spent here without asking anybody.
+// Prepaid budgets of tenants ("wallets"). The agreed record holds the balances; each balancer leases slices
+// of them and spends these locally, so that no call waits for the record.
 #pragma once
 
 #include <map>
@@ -11,93 +12,102 @@
 
 namespace marblehub::fleet {
 
-// deploy/wallet.json: prices by class, deposits with ids, what holds for tenants without a wallet. The file's
-// form, its bounds and the ways weighed: docs/fleet-wallet.md.
+/// The settings of deploy/wallet.json; docs/fleet-wallet.md describes the file and its bounds. Amounts and
+/// prices are in units, times in microseconds.
 struct WalletSettings {
-  std::map<std::string, std::int64_t> prices;                           // by class; one not named costs 1
-  std::map<std::string, std::map<std::string, std::int64_t>> deposits;  // tenant: id: amount
-  bool unknown_served = true;         // calls of a tenant without a wallet, or of none
-  Time term = 10 * kSecond;           // of a slice
-  Time ahead = kSecond;               // a slice is to last about so long at the balancer's own rate
-  std::int64_t max_held_back = 1000;  // of each wallet: units in slices of one balancer at most
-  Time pause = kSecond;               // told to clients that are refused, spread over half to all of it
+  std::map<std::string, std::int64_t> prices;  // of one call, by class; a class not listed costs 1
+  std::map<std::string, std::map<std::string, std::int64_t>> deposits;  // by tenant and deposit id
+  bool unknown_served = true;         // calls without a tenant, or whose tenant has no wallet
+  Time term = 10 * kSecond;           // of a slice; what is unspent is returned by its end
+  Time ahead = kSecond;               // a slice covers the balancer's own demand for about this long
+  std::int64_t max_held_back = 1000;  // units of one wallet in slices of one balancer
+  Time pause = kSecond;               // longest retry delay of refused calls; see Wallets::retry_after
 };
-// Throws config::DecodeError with key. `classes`: those of the start file, where it is known; a price for any
-// other would never be asked.
+/// Throws config::DecodeError with the key. `classes`: of the start file; a price for another class is
+/// refused. Empty: the classes are not checked.
 WalletSettings wallet_settings_from(const config::Options& options,
                                     const std::vector<std::string>& classes = {});
-// Throws config::DecodeError where a wallet's deposits in the file come to less than is spent, held back or
-// in slices: what was served cannot be taken back. Before `follow`; `place` is the file and ": ".
+/// Throws config::DecodeError where a wallet's deposits in the file are less than what is spent, held back or
+/// in slices. Called before update_settings; `place` is the file's name and ": ".
 void check_deposits(const WalletSettings& settings, const Ledger& ledger, const std::string& place);
 
-// What a balancer may have spent of its slices, on its own disk if it has one, so that little is held back
-// after a crash. A line is written ahead: it says what is spent at most until the next line of that slice
-// lasts. append never waits for the disk; a slice without a line counts as spent in full.
+/// Write-ahead journal of the spending of slices on a balancer's own disk, so that little is held back after
+/// a crash. A line is an upper bound of a slice's spending until the slice's next line is durable. A slice
+/// without a line counts as spent in full.
 class Journal {
  public:
   virtual ~Journal() = default;
+  /// Spending of one slice, in units.
   struct Line {
     std::string wallet, slice;
     std::int64_t spent = 0;
   };
-  virtual void append(const Line& line) = 0;
-  // How many of the lines appended by this process last on the disk, oldest first; all of them where nothing
-  // else is known.
+  virtual void append(const Line& line) = 0;  // never waits for the disk
+  /// How many of the lines that this process appended are durable, oldest first. The default: all of them.
   virtual std::uint64_t durable_lines() const { return ~std::uint64_t{0}; }
-  virtual std::vector<Line>
-  load() = 0;  // throws with file and offset where a line is flipped; a torn last one ends it
+  /// The last line of each slice from earlier processes. A torn last line is dropped; throws with file and
+  /// offset where another line is damaged.
+  virtual std::vector<Line> load() = 0;
 };
 
-enum class ReserveResult { unmetered, reserved, paused };  // unmetered: no wallet's affair, serve it
+/// unmetered: no wallet pays for the call, serve it. paused: nothing to spend, refuse the call.
+enum class ReserveResult { unmetered, reserved, paused };
+/// Units reserved for one call; price 0: none. The indices are those of the Wallets that made it.
 struct Reservation {
   std::uint32_t wallet = 0;
   std::uint32_t slice = 0;
   std::int64_t price = 0;
 };
 
-// The seam to the record: what Wallets needs of it, so that tests can agree on commands in their own way.
+/// What Wallets needs from the record. Tests implement it without consensus.
 class RecordInterface {
  public:
   virtual ~RecordInterface() = default;
   virtual const Ledger& ledger() const = 0;
   virtual bool is_leader() const = 0;
-  virtual std::uint64_t propose(Time now, Body body, Outbox& out) = 0;
+  virtual std::uint64_t propose(Time now, Body body, Outbox& out) = 0;  // returns the command's number
 };
 
+/// All wallets at one balancer. The settings and prices apply to all of them; `journal` is not owned and may
+/// be null. Not thread-safe.
 class Wallets {
  public:
   Wallets(const Settings& fleet, WalletSettings settings, Journal* journal, std::uint64_t incarnation,
           std::uint64_t seed, Time now);
 
-  // On a call's way: never waits, never allocates. Reserved before the attempt, then exactly one of the two.
+  // On the path of a call: these never block or allocate. A call reserves its price before the attempt; then
+  // exactly one of commit and release follows.
   ReserveResult reserve(Time now, std::string_view tenant, std::string_view service_class, Reservation& into);
-  void commit(const Reservation& reservation);   // at UP
-  void release(const Reservation& reservation);  // no UP came
+  void commit(const Reservation& reservation);   // the worker answered UP
+  void release(const Reservation& reservation);  // the attempt ended without UP
 
-  // After anything that may have changed the record, and at next_due: takes slices, gives back, offers
-  // deposits, lapses slices of the gone (leader only). `alive`: the view.
+  /// Requests and returns slices, proposes deposits and, on the leader, expires slices of members that are
+  /// gone. Called after any change of the record and at next_due. `alive`: the members in the view.
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
-  void step(Time now, RecordInterface& book, const std::vector<std::string>& alive, Outbox& out);
-  // At SIGTERM: all unspent goes back, at once or, where a call is under way, at the steps that follow it.
+  void step(Time now, RecordInterface& record, const std::vector<std::string>& alive, Outbox& out);
+  /// At SIGTERM: returns all unspent units, at once or, where a call is in progress, in the steps after it
+  /// ends.
   void return_all(Time now, Record& record, Outbox& out);
-  void return_all(Time now, RecordInterface& book, Outbox& out);
-  bool all_returned() const;                      // nothing is out here any more
-  void update_settings(WalletSettings settings);  // SIGHUP; a balance below what is spent is refused before
+  void return_all(Time now, RecordInterface& record, Outbox& out);
+  bool all_returned() const;                      // no slice is left here
+  void update_settings(WalletSettings settings);  // at SIGHUP, after check_deposits
   Time next_due() const;
 
-  bool paused(std::string_view tenant) const;  // nothing to spend here and none to be had
-  // When the call that reserve refused last may come again, as a duration: spread over half to all of `pause`
-  // where the balance is out, over an eighth to a quarter of it where a slice is on its way.
+  bool paused(std::string_view tenant) const;  // nothing to spend here, and no slice to be granted
+  /// The retry delay for the call that reserve refused last, at random: half to all of `pause` where the
+  /// balance is exhausted, an eighth to a quarter of it where a new slice could cover the call.
   Time retry_after(Time now);
-  // Why deposits of the file are not offered to the record (check_against, at start); empty: all are.
+  /// Why the file's deposits are not proposed to the record (see check_deposits); empty: they are.
   const std::string& deposit_error() const;
+  /// Units of one wallet in the whole fleet, and `spent_here` by this process.
   struct Totals {
-    std::int64_t paid = 0, balance = 0, out = 0, spent = 0, held_back = 0, spent_here = 0;
+    std::int64_t paid = 0, balance = 0, in_slices = 0, spent = 0, held_back = 0, spent_here = 0;
   };
   Totals totals(std::string_view tenant) const;
 
  private:
   struct State;
+  /// Deletes the state where its type is complete.
   struct Release {
     void operator()(State* state) const;
   };
--- a/src/fleet/wallet/wallets_record.cpp
+++ b/src/fleet/wallet/wallets_record.cpp
@@ -1,10 +1,11 @@
-// The wallet on the record itself; apart, so that tests of the wallet need no consensus.
+// Connects Wallets to the Record. A separate file, so that tests of the wallet link without consensus.
 #include "fleet/record/record.h"
 #include "fleet/wallet/wallet.h"
 
 namespace marblehub::fleet {
 namespace {
 
+/// Passes the calls of RecordInterface on to a Record.
 struct RecordAdapter : RecordInterface {
   explicit RecordAdapter(Record& record) : record(record) {}
   const Ledger& ledger() const override { return record.ledger(); }
@@ -18,13 +19,13 @@
 }  // namespace
 
 void Wallets::step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
-  RecordAdapter book(record);
-  step(now, book, alive, out);
+  RecordAdapter adapter(record);
+  step(now, adapter, alive, out);
 }
 
 void Wallets::return_all(Time now, Record& record, Outbox& out) {
-  RecordAdapter book(record);
-  return_all(now, book, out);
+  RecordAdapter adapter(record);
+  return_all(now, adapter, out);
 }
 
 }  // namespace marblehub::fleet
