--- a/src/fleet/wallet/file_journal.cpp
+++ b/src/fleet/wallet/file_journal.cpp
@@ -17,18 +17,18 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr std::size_t kMostWaiting = 65'536;  // lines; beyond it, with a dead disk, they are let go
+constexpr std::size_t kMaxPending = 65'536;  // lines; with a failing disk, later ones are dropped
 
-std::uint32_t crc32(std::string_view octets) {
+std::uint32_t crc32(std::string_view bytes) {
   std::uint32_t crc = ~std::uint32_t{0};
-  for (char octet : octets) {
-    crc ^= static_cast<std::uint8_t>(octet);
+  for (char byte : bytes) {
+    crc ^= static_cast<std::uint8_t>(byte);
     for (int bit = 0; bit < 8; ++bit) crc = (crc >> 1) ^ (crc & 1 ? 0xedb88320u : 0);
   }
   return ~crc;
 }
 
-std::string encoded(std::string_view name) {
+std::string percent_encode(std::string_view name) {
   std::string text;
   for (char c : name) {
     bool plain = c > ' ' && c < 0x7f && c != '%';
@@ -37,7 +37,7 @@
   return text;
 }
 
-std::string decoded(std::string_view text) {
+std::string percent_decode(std::string_view text) {
   std::string name;
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned value = 0;
@@ -52,180 +52,184 @@
   return name;
 }
 
-bool line_in(std::string_view text, Journal::Line& into) {
+bool parse_line(std::string_view text, Journal::Line& into) {
   if (text.size() < 10 || text[8] != ' ') return false;
-  std::uint32_t sum = 0;
-  auto [end, error] = std::from_chars(text.data(), text.data() + 8, sum, 16);
-  if (error != std::errc() || end != text.data() + 8 || sum != crc32(text.substr(9))) return false;
-  std::string_view rest = text.substr(9);
-  std::size_t one = rest.find(' '), two = rest.rfind(' ');
-  if (one == std::string_view::npos || one == two) return false;
-  auto spent = config::number_in<std::int64_t>(rest.substr(two + 1));
+  std::uint32_t checksum = 0;
+  auto [end, error] = std::from_chars(text.data(), text.data() + 8, checksum, 16);
+  if (error != std::errc() || end != text.data() + 8 || checksum != crc32(text.substr(9))) return false;
+  std::string_view payload = text.substr(9);
+  std::size_t first_space = payload.find(' '), last_space = payload.rfind(' ');
+  if (first_space == std::string_view::npos || first_space == last_space) return false;
+  auto spent = config::number_in<std::int64_t>(payload.substr(last_space + 1));
   if (!spent || *spent < 0) return false;
-  into = {decoded(rest.substr(0, one)), decoded(rest.substr(one + 1, two - one - 1)), *spent};
+  into = {percent_decode(payload.substr(0, first_space)),
+          percent_decode(payload.substr(first_space + 1, last_space - first_space - 1)), *spent};
   return true;
 }
 
-StorageError trouble(const std::string& path, const std::string& what) {
+StorageError storage_error(const std::string& path, const std::string& what) {
   return StorageError(fmt::format("{}: {}", path, what));
 }
 
 }  // namespace
 
-FileJournal::FileJournal(std::string path, std::size_t bound) : path_(std::move(path)), bound_(bound) {
-  lock_ = ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) throw trouble(path_ + ".lock", std::strerror(errno));
-  // The process before may only sleep; its slices must not be told while it can still spend them.
-  if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) {
-    ::close(lock_);
-    throw trouble(path_, "in use by another process");
+FileJournal::FileJournal(std::string path, std::size_t max_bytes)
+    : path_(std::move(path)), max_bytes_(max_bytes) {
+  lock_fd_ = ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  if (lock_fd_ < 0) throw storage_error(path_ + ".lock", std::strerror(errno));
+  // The previous process may only be suspended: its spending is not final while it can still spend.
+  if (::flock(lock_fd_, LOCK_EX | LOCK_NB) != 0) {
+    ::close(lock_fd_);
+    throw storage_error(path_, "in use by another process");
   }
   try {
-    std::string all = config::read_file(path_).value_or("");
-    std::size_t at = 0;
-    for (std::size_t end; (end = all.find('\n', at)) != std::string::npos; at = end + 1) {
+    std::string content = config::read_file(path_).value_or("");
+    std::size_t offset = 0;
+    for (std::size_t end; (end = content.find('\n', offset)) != std::string::npos; offset = end + 1) {
       Line line;
-      if (!line_in(std::string_view(all).substr(at, end - at), line))
-        throw trouble(path_, fmt::format("line at offset {} is damaged", at));
-      remember(line);
+      if (!parse_line(std::string_view(content).substr(offset, end - offset), line))
+        throw storage_error(path_, fmt::format("line at offset {} is damaged", offset));
+      update_latest(line);
     }
-    before_.assign(newest_.begin(), newest_.end());
-    file_ = ::open(path_.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
-    // A torn last line was never lasting: what comes next begins where it began.
-    if (file_ < 0 || ::ftruncate(file_, static_cast<off_t>(at)) != 0)
-      throw trouble(path_, std::strerror(errno));
-    size_ = at;
-    thread_ = std::thread([this] { write_all(); });
+    loaded_.assign(latest_.begin(), latest_.end());
+    fd_ = ::open(path_.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
+    // A torn last line was never durable: the next line overwrites it.
+    if (fd_ < 0 || ::ftruncate(fd_, static_cast<off_t>(offset)) != 0)
+      throw storage_error(path_, std::strerror(errno));
+    size_ = offset;
+    thread_ = std::thread([this] { run_writer(); });
   } catch (...) {
-    if (file_ >= 0) ::close(file_);
-    ::close(lock_);
+    if (fd_ >= 0) ::close(fd_);
+    ::close(lock_fd_);
     throw;
   }
 }
 
 FileJournal::~FileJournal() {
   {
-    std::lock_guard hold(mutex_);
-    ending_ = true;
+    std::lock_guard lock(mutex_);
+    stopping_ = true;
   }
-  more_.notify_one();
+  wakeup_.notify_one();
   thread_.join();
-  ::close(file_);
-  ::close(lock_);
+  ::close(fd_);
+  ::close(lock_fd_);
 }
 
 void FileJournal::append(const Line& line) {
-  std::lock_guard hold(mutex_);
-  // A line let go never lasts, nor may any after it: slices go without lines from here on, and count in full.
-  if (full_ || waiting_.size() >= kMostWaiting) {
-    full_ = true;
+  std::lock_guard lock(mutex_);
+  // Durable lines are counted in order, so nothing is appended after a dropped line: from here on slices have
+  // no lines and count as spent in full.
+  if (dropping_ || pending_.size() >= kMaxPending) {
+    dropping_ = true;
     return;
   }
-  waiting_.push_back(line);
-  more_.notify_one();
+  pending_.push_back(line);
+  wakeup_.notify_one();
 }
 
-std::vector<Journal::Line> FileJournal::load() { return before_; }
+std::vector<Journal::Line> FileJournal::load() { return loaded_; }
 
 std::uint64_t FileJournal::durable_lines() const {
-  std::lock_guard hold(mutex_);
-  return lasting_;
+  std::lock_guard lock(mutex_);
+  return durable_lines_;
 }
 
 bool FileJournal::failing() const {
-  std::lock_guard hold(mutex_);
+  std::lock_guard lock(mutex_);
   return failing_;
 }
 
-void FileJournal::remember(const Line& line) {
-  auto same = std::find_if(newest_.rbegin(), newest_.rend(), [&](const Line& other) {
+void FileJournal::update_latest(const Line& line) {
+  auto existing = std::find_if(latest_.rbegin(), latest_.rend(), [&](const Line& other) {
     return other.slice == line.slice && other.wallet == line.wallet;
   });
-  if (same != newest_.rend())
-    same->spent = line.spent;
+  if (existing != latest_.rend())
+    existing->spent = line.spent;
   else
-    newest_.push_back(line);
-  // Slices live for a term; of this many the oldest are long told.
-  if (newest_.size() > 4096) newest_.pop_front();
+    latest_.push_back(line);
+  // Slices live for one term: with so many lines the oldest slices are returned.
+  if (latest_.size() > 4096) latest_.pop_front();
 }
 
-std::string FileJournal::text_of(const Line& line) {
-  std::string rest = fmt::format("{} {} {}", encoded(line.wallet), encoded(line.slice), line.spent);
-  return fmt::format("{:08x} {}\n", crc32(rest), rest);
+std::string FileJournal::format_line(const Line& line) {
+  std::string payload =
+      fmt::format("{} {} {}", percent_encode(line.wallet), percent_encode(line.slice), line.spent);
+  return fmt::format("{:08x} {}\n", crc32(payload), payload);
 }
 
-void FileJournal::write_all() {
-  std::unique_lock hold(mutex_);
+void FileJournal::run_writer() {
+  std::unique_lock lock(mutex_);
   while (true) {
-    more_.wait(hold, [this] { return ending_ || !waiting_.empty(); });
-    if (waiting_.empty()) return;
-    std::vector<Line> lines(waiting_);
-    hold.unlock();
-    std::string octets;
-    for (const Line& line : lines) octets += text_of(line);
-    bool written = write(octets);
+    wakeup_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
+    if (pending_.empty()) return;
+    std::vector<Line> lines(pending_);
+    lock.unlock();
+    std::string bytes;
+    for (const Line& line : lines) bytes += format_line(line);
+    bool written = write(bytes);
     if (written)
-      for (const Line& line : lines) remember(line);
-    // One that fails before the new file stands is tried again; after that nothing lasts any more.
-    bool rotated = !written || size_ <= bound_ || rotate();
-    hold.lock();
+      for (const Line& line : lines) update_latest(line);
+    // A rotation that fails before the rename is retried. After the rename, no later line counts as durable.
+    bool rotated = !written || size_ <= max_bytes_ || rotate();
+    lock.lock();
     failing_ = !written || !rotated;
-    if (!rotated && size_ <= bound_) full_ = unnamed_ = true;
+    if (!rotated && size_ <= max_bytes_) dropping_ = rename_unsynced_ = true;
     if (written) {
-      waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(lines.size()));
-      if (!unnamed_) lasting_ += lines.size();
-    } else if (ending_) {
+      pending_.erase(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(lines.size()));
+      if (!rename_unsynced_) durable_lines_ += lines.size();
+    } else if (stopping_) {
       return;
     } else {
-      more_.wait_for(hold, std::chrono::seconds(1), [this] { return ending_; });
+      wakeup_.wait_for(lock, std::chrono::seconds(1), [this] { return stopping_; });
     }
   }
 }
 
-// At `size_`, so that what a full disk took in part is written over.
-bool FileJournal::write(const std::string& octets) {
+// Writes at `size_`, so that a partial write on a full disk is overwritten.
+bool FileJournal::write(const std::string& bytes) {
   std::size_t done = 0;
-  while (done < octets.size()) {
-    ssize_t wrote =
-        ::pwrite(file_, octets.data() + done, octets.size() - done, static_cast<off_t>(size_ + done));
-    if (wrote < 0 && errno == EINTR) continue;
-    if (wrote <= 0) return false;
-    done += static_cast<std::size_t>(wrote);
+  while (done < bytes.size()) {
+    ssize_t count = ::pwrite(fd_, bytes.data() + done, bytes.size() - done, static_cast<off_t>(size_ + done));
+    if (count < 0 && errno == EINTR) continue;
+    if (count <= 0) return false;
+    done += static_cast<std::size_t>(count);
   }
-  if (::fdatasync(file_) != 0) return false;
-  size_ += octets.size();
+  if (::fdatasync(fd_) != 0) return false;
+  size_ += bytes.size();
   return true;
 }
 
 bool FileJournal::rotate() {
-  std::string octets;
-  std::vector<std::string> kept;
-  for (auto line = newest_.rbegin(); line != newest_.rend() && octets.size() < bound_ / 2; ++line) {
-    kept.push_back(text_of(*line));
-    octets += kept.back();
+  std::string bytes;
+  std::vector<std::string> kept_lines;
+  for (auto line = latest_.rbegin(); line != latest_.rend() && bytes.size() < max_bytes_ / 2; ++line) {
+    kept_lines.push_back(format_line(*line));
+    bytes += kept_lines.back();
   }
-  newest_.erase(newest_.begin(), newest_.end() - static_cast<std::ptrdiff_t>(kept.size()));
-  octets.clear();
-  for (auto line = kept.rbegin(); line != kept.rend(); ++line) octets += *line;
-  std::string next = path_ + ".next";
-  int file = ::open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  if (file < 0) return false;
-  bool whole = ::write(file, octets.data(), octets.size()) == static_cast<ssize_t>(octets.size()) &&
-               ::fdatasync(file) == 0 && ::rename(next.c_str(), path_.c_str()) == 0;
-  if (!whole) {
-    ::close(file);
+  latest_.erase(latest_.begin(), latest_.end() - static_cast<std::ptrdiff_t>(kept_lines.size()));
+  bytes.clear();
+  for (auto line = kept_lines.rbegin(); line != kept_lines.rend(); ++line) bytes += *line;
+  std::string next_path = path_ + ".next";
+  int new_fd = ::open(next_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  if (new_fd < 0) return false;
+  bool complete = ::write(new_fd, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()) &&
+                  ::fdatasync(new_fd) == 0 && ::rename(next_path.c_str(), path_.c_str()) == 0;
+  if (!complete) {
+    ::close(new_fd);
     return false;
   }
-  // Nothing more is written before the new name lasts: the old file's lines would say too little.
+  // Nothing more is written before the new name is durable: after a crash the old file would lack later
+  // lines.
   std::size_t slash = path_.rfind('/');
-  std::string folder = slash == std::string::npos ? "." : path_.substr(0, slash + 1);
-  int at = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  bool lasts = at >= 0 && ::fsync(at) == 0;
-  if (at >= 0) ::close(at);
-  ::close(file_);
-  file_ = file;
-  size_ = octets.size();
-  return lasts;
+  std::string directory = slash == std::string::npos ? "." : path_.substr(0, slash + 1);
+  int directory_fd = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  bool durable = directory_fd >= 0 && ::fsync(directory_fd) == 0;
+  if (directory_fd >= 0) ::close(directory_fd);
+  ::close(fd_);
+  fd_ = new_fd;
+  size_ = bytes.size();
+  return durable;
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/wallet/file_journal.h
+++ b/src/fleet/wallet/file_journal.h
@@ -1,8 +1,8 @@
-// A balancer's journal on its disk: text, a line for each append, written and synced by a thread of its own.
-//   CRC WALLET SLICE SPENT      CRC-32 (ISO-HDLC, as in RFC 1952, section 8) in hex over what follows it
-// Names are percent-encoded (RFC 3986, section 2.1). A slice's last line holds. The file is replaced by the
-// last line of each slice once it is over its bound; what a slice without a line spent is all of it, so the
-// oldest slices are left out where that is not enough.
+// A balancer's journal in a text file, one line for each append, written and synced by a thread of its own.
+//   CRC WALLET SLICE SPENT      CRC-32 (ISO-HDLC, as in RFC 1952, section 8) in hex over the rest of the line
+// Names are percent-encoded (RFC 3986, section 2.1). The last line of a slice counts. A file over its bound
+// is replaced by one with the last line of each slice; if these are too many, the oldest slices are left out
+// and so count as spent in full.
 #pragma once
 
 #include <condition_variable>
@@ -15,36 +15,40 @@
 
 namespace marblehub::fleet {
 
+/// The Journal in a file that one process at a time may open. Thread-safe.
 class FileJournal : public Journal {
  public:
-  // Throws StorageError where the file cannot be opened, is another process's, or has a flipped line.
-  explicit FileJournal(std::string path, std::size_t bound = 1 << 20);  // octets
-  ~FileJournal() override;                                              // what was appended is written
+  /// Throws StorageError where the file cannot be opened, is in use by another process, or has a damaged
+  /// line. Beyond `max_bytes` the file is rotated.
+  explicit FileJournal(std::string path, std::size_t max_bytes = 1 << 20);
+  /// Writes the pending lines; those that fail are dropped.
+  ~FileJournal() override;
   FileJournal(const FileJournal&) = delete;
   FileJournal& operator=(const FileJournal&) = delete;
 
   void append(const Line& line) override;
-  std::vector<Line> load() override;  // of the processes before this one, the oldest slice first
+  std::vector<Line> load() override;  // of earlier processes, the oldest slice first
   std::uint64_t durable_lines() const override;
-  bool failing() const;  // the disk is full or gone; it is tried again with the next line
+  bool failing() const;  // the last write or rotation failed; writes are retried each second
 
  private:
-  void write_all();
-  bool write(const std::string& octets);
+  void run_writer();
+  bool write(const std::string& bytes);
   bool rotate();
-  void remember(const Line& line);
-  static std::string text_of(const Line& line);
+  void update_latest(const Line& line);
+  static std::string format_line(const Line& line);
 
   std::string path_;
-  std::size_t bound_, size_ = 0;
-  int file_ = -1, lock_ = -1;
-  std::vector<Line> before_;
-  std::deque<Line> newest_;  // the last line of each slice, the oldest slice first; of the thread alone
+  std::size_t max_bytes_, size_ = 0;
+  int fd_ = -1, lock_fd_ = -1;
+  std::vector<Line> loaded_;  // read from the file at start
+  std::deque<Line> latest_;   // the last line of each slice, the oldest slice first; used by the thread only
   mutable std::mutex mutex_;
-  std::condition_variable more_;
-  std::vector<Line> waiting_;
-  std::uint64_t lasting_ = 0;
-  bool failing_ = false, ending_ = false, full_ = false, unnamed_ = false;
+  std::condition_variable wakeup_;
+  std::vector<Line> pending_;  // not written yet; from here on guarded by mutex_
+  std::uint64_t durable_lines_ = 0;
+  // dropping_: no more lines are accepted; rename_unsynced_: a rotated file may not survive a crash.
+  bool failing_ = false, stopping_ = false, dropping_ = false, rename_unsynced_ = false;
   std::thread thread_;
 };
 
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -17,7 +17,7 @@
 struct WalletSettings {
   std::map<std::string, std::int64_t> prices;  // of one call, by class; a class not listed costs 1
   std::map<std::string, std::map<std::string, std::int64_t>> deposits;  // by tenant and deposit id
-  bool unknown_served = true;         // calls without a tenant, or whose tenant has no wallet
+  bool unknown_served = true;         // serve calls without a tenant or whose tenant has no wallet
   Time term = 10 * kSecond;           // of a slice; what is unspent is returned by its end
   Time ahead = kSecond;               // a slice covers the balancer's own demand for about this long
   std::int64_t max_held_back = 1000;  // units of one wallet in slices of one balancer
