--- a/tests/fleet/wallet/journal_test.cpp
+++ b/tests/fleet/wallet/journal_test.cpp
@@ -13,25 +13,26 @@
 namespace marblehub::fleet {
 namespace {
 
-struct Folder {
-  Folder() {
+/// A temporary folder that is removed at the end of the test.
+struct TempFolder {
+  TempFolder() {
     std::string name = (std::filesystem::temp_directory_path() / "walletXXXXXX").string();
     path = ::mkdtemp(name.data());
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TempFolder() { std::filesystem::remove_all(path); }
   std::string file() const { return path + "/journal"; }
   std::string path;
 };
 
-std::string text(const Folder& folder) { return config::read_file(folder.file()).value_or(""); }
-void put(const Folder& folder, const std::string& text) {
+std::string text(const TempFolder& folder) { return config::read_file(folder.file()).value_or(""); }
+void put(const TempFolder& folder, const std::string& text) {
   std::ofstream(folder.file(), std::ios::trunc) << text;
 }
 
 }  // namespace
 
-TEST_CASE("A journal gives back the last line of each slice", "[wallet][journal]") {
-  Folder folder;
+TEST_CASE("A journal loads the last line of each slice", "[wallet][journal]") {
+  TempFolder folder;
   {
     FileJournal journal(folder.file());
     CHECK(journal.load().empty());
@@ -52,8 +53,8 @@
   CHECK(again.durable_lines() == 0);
 }
 
-TEST_CASE("A torn last line ends a journal at any octet; a flipped one is refused", "[wallet][journal]") {
-  Folder folder;
+TEST_CASE("A last line torn at any byte is dropped; a damaged line is refused", "[wallet][journal]") {
+  TempFolder folder;
   {
     FileJournal journal(folder.file());
     journal.append({"p", "s1", 1});
@@ -77,14 +78,14 @@
     flipped[at] = static_cast<char>(flipped[at] ^ 1);
     if (flipped[at] == '\n' || whole[at] == '\n') continue;
     put(folder, flipped);
-    INFO("octet " << at);
+    INFO("byte " << at);
     CHECK_THROWS_WITH(FileJournal(folder.file()), folder.file() + ": line at offset " +
                                                       std::to_string(at < first ? 0 : first) + " is damaged");
   }
 }
 
-TEST_CASE("A journal stays within its bound and keeps the newest", "[wallet][journal]") {
-  Folder folder;
+TEST_CASE("A journal stays within its bound and keeps the newest slices", "[wallet][journal]") {
+  TempFolder folder;
   {
     FileJournal journal(folder.file(), 4096);
     for (int i = 0; i < 2000; ++i) {
--- a/tests/fleet/wallet/settings_test.cpp
+++ b/tests/fleet/wallet/settings_test.cpp
@@ -6,13 +6,13 @@
 namespace marblehub::fleet {
 namespace {
 
-WalletSettings in(const std::string& text) {
+WalletSettings decode(const std::string& text) {
   return wallet_settings_from(config::flatten(text, "wallet.json: "));
 }
 
 }  // namespace
 
-TEST_CASE("The shipped wallet file turns nothing on", "[wallet]") {
+TEST_CASE("The shipped wallet file has no deposits and no prices", "[wallet]") {
   WalletSettings s = wallet_settings_from(config::options_in(MARBLEHUB_SOURCE "/deploy/wallet.json"));
   CHECK(s.deposits.empty());
   CHECK(s.prices.empty());
@@ -20,8 +20,8 @@
   CHECK(s.term == 10 * kSecond);
 }
 
-TEST_CASE("A wallet file is decoded whole", "[wallet]") {
-  WalletSettings s = in(R"({"unknown": "refuse", "term_s": 5, "ahead_s": 0.5, "held_back_most": 50,
+TEST_CASE("All keys of a wallet file are decoded", "[wallet]") {
+  WalletSettings s = decode(R"({"unknown": "refuse", "term_s": 5, "ahead_s": 0.5, "held_back_most": 50,
     "pause_ms": 500, "prices": [{"class": "a", "units": 2}, {"class": "b", "units": 0}],
     "deposits": [{"wallet": "p", "id": "1", "units": 9007199254740992}, {"wallet": "q", "id": "1", "units": 7}]})");
   CHECK_FALSE(s.unknown_served);
@@ -34,7 +34,7 @@
   CHECK(s.deposits["q"]["1"] == 7);
 }
 
-TEST_CASE("Bad wallet files are refused with file and key", "[wallet]") {
+TEST_CASE("Invalid wallet files are refused with file and key", "[wallet]") {
   auto [text, key] = GENERATE(table<std::string, std::string>({
       {R"({"term": 5})", "term"},
       {R"({"term_s": "5s"})", "term_s"},
@@ -63,7 +63,7 @@
       {R"({"deposits": [{"wallet": "p", "units": 1}]})", "deposits.0.id"},
   }));
   INFO(text);
-  CHECK_THROWS_WITH(in(text), Catch::Matchers::StartsWith("wallet.json: setting " + key + ": expected "));
+  CHECK_THROWS_WITH(decode(text), Catch::Matchers::StartsWith("wallet.json: setting " + key + ": expected "));
 }
 
 }  // namespace marblehub::fleet
--- a/tests/fleet/wallet/stored_test.cpp
+++ b/tests/fleet/wallet/stored_test.cpp
@@ -1,5 +1,5 @@
-// What an earlier version has stored stays readable: tests/fleet/stored holds a voter's disk and a wallet's
-// journal written by the version of 2026-12-02, before the record and the wallet were renamed inside.
+// Data stored by an earlier version stays readable: tests/fleet/stored holds a voter's disk and a wallet's
+// journal written by the version of 2026-12-02.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -12,23 +12,23 @@
 namespace marblehub::fleet {
 namespace {
 
-// A copy of the stored files: opening them may write.
-struct Stored {
-  Stored() {
+/// A copy of the stored files, since opening them may write.
+struct StoredFiles {
+  StoredFiles() {
     std::string name = (std::filesystem::temp_directory_path() / "storedXXXXXX").string();
     path = ::mkdtemp(name.data());
     for (const char* file : {"record.mdb", "journal"})
       std::filesystem::copy_file(std::filesystem::path(MARBLEHUB_SOURCE "/tests/fleet/stored") / file,
                                  std::filesystem::path(path) / file);
   }
-  ~Stored() { std::filesystem::remove_all(path); }
+  ~StoredFiles() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
 }  // namespace
 
-TEST_CASE("a voter's disk written by the version before is read as it was written", "[stored]") {
-  Stored stored;
+TEST_CASE("a voter's disk written by an earlier version is read unchanged", "[stored]") {
+  StoredFiles stored;
   LmdbDisk disk(stored.path);
   const Disk::Contents kept = disk.load();
   CHECK_FALSE(kept.fresh);
@@ -52,12 +52,12 @@
   CHECK(deposit->wallet == "w");
   CHECK(deposit->deposit == "d-1");
   CHECK(deposit->amount == 40);
-  CHECK(disk.append({{5, 7, "further"}}));  // and it goes on from there
+  CHECK(disk.append({{5, 7, "further"}}));  // the log continues after the stored entries
   CHECK(disk.load().entries.size() == 3);
 }
 
-TEST_CASE("a wallet's journal written by the version before is read as it was written", "[stored]") {
-  Stored stored;
+TEST_CASE("a wallet's journal written by an earlier version is read unchanged", "[stored]") {
+  StoredFiles stored;
   FileJournal journal(stored.path + "/journal");
   const auto lines = journal.load();
   REQUIRE(lines.size() == 2);
