--- a/bench/fleet_wallet.cpp
+++ b/bench/fleet_wallet.cpp
@@ -1,4 +1,4 @@
-// What a call costs with the wallet on: reserve and debit at one balancer that holds a slice, among 200
+// Measures the cost of the wallet per call: reserve and commit at one balancer that holds slices of 200
 // wallets.
 #include <fmt/format.h>
 
@@ -13,14 +13,15 @@
 
 using namespace marblehub::fleet;
 
-struct Alone : RecordInterface {  // a record of one, that agrees at once
-  const Ledger& ledger() const override { return all; }
+/// A record of one member, which applies each command at once.
+struct LocalRecord : RecordInterface {
+  const Ledger& ledger() const override { return contents; }
   bool is_leader() const override { return true; }
   std::uint64_t propose(Time, Body body, Outbox&) override {
-    apply(all, all.applied + 1, {{"b1", 1, ++number}, std::move(body)});
+    apply(contents, contents.applied + 1, {{"b1", 1, ++number}, std::move(body)});
     return number;
   }
-  Ledger all;
+  Ledger contents;
   std::uint64_t number = 0;
 };
 
@@ -39,7 +40,7 @@
   }
   Time now = 1'000'000 * kSecond;
   Wallets wallets(fleet, settings, nullptr, 1, 1, now);
-  Alone book;
+  LocalRecord record;
   Outbox out;
   const char* classes[] = {"telemetry", "unlock", "plain"};
   auto calls = [&](int n, bool timed) {
@@ -55,24 +56,24 @@
     }
     double ns = std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - from).count();
     if (timed)
-      std::printf("reserve and debit: %.1f ns a call, %.2f%% of %d reserved\n", ns / n,
+      std::printf("reserve and commit: %.1f ns a call, %.2f%% of %d reserved\n", ns / n,
                   100.0 * static_cast<double>(reserved) / n, n);
   };
-  for (int i = 0; i < 200; ++i) {  // slices grow to the rate
+  for (int i = 0; i < 200; ++i) {  // slices grow to the demand
     now += 50 * kMillisecond;
     calls(200'000, false);
-    wallets.step(now, book, {"b1"}, out);
+    wallets.step(now, record, {"b1"}, out);
   }
   for (int i = 0; i < 5; ++i) {
     calls(200'000, true);
     now += 50 * kMillisecond;
-    wallets.step(now, book, {"b1"}, out);
+    wallets.step(now, record, {"b1"}, out);
   }
   auto stepped = std::chrono::steady_clock::now();
-  for (int i = 0; i < 100; ++i) wallets.step(now += 250 * kMillisecond, book, {"b1"}, out);
+  for (int i = 0; i < 100; ++i) wallets.step(now += 250 * kMillisecond, record, {"b1"}, out);
   double us =
       std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - stepped).count() / 100;
-  std::printf("a step over 200 wallets: %.1f us, off a call's way\n", us);
+  std::printf("a step over 200 wallets: %.1f us, off the path of a call\n", us);
   Reservation none;
   auto from = std::chrono::steady_clock::now();
   for (int i = 0; i < 5'000'000; ++i) wallets.reserve(now, "stranger", "plain", none);
