--- a/tests/fleet/wallet/random_test.cpp
+++ b/tests/fleet/wallet/random_test.cpp
@@ -8,6 +8,7 @@
 namespace marblehub::fleet {
 namespace {
 
+// Injects one random failure, or ends one: crash, restart, partition, suspension, loss, delay, new deposits.
 void inject_failure(WalletFleet& fleet) {
   auto at = static_cast<std::size_t>(fleet.rng.below(static_cast<std::int64_t>(fleet.holders.size())));
   WalletFleet::Holder& h = fleet.holders[at];
@@ -59,6 +60,8 @@
   }
 }
 
+// Runs random calls and failures for 10 s, then ends all failures and compares what was served with the
+// ledger.
 void run_seed(std::uint64_t seed) {
   WalletSettings settings = partner_settings(100 + static_cast<std::int64_t>(seed % 7) * 300);
   std::int64_t expensive = seed % 2 ? 3 : 40;
--- a/tests/fleet/wallet/wallet_fleet.h
+++ b/tests/fleet/wallet/wallet_fleet.h
@@ -27,8 +27,8 @@
 };
 
 /// Random generator for the simulation.
-struct Rng {
-  explicit Rng(std::uint64_t seed) : engine(seed) {}
+struct FleetRng {
+  explicit FleetRng(std::uint64_t seed) : engine(seed) {}
   std::int64_t below(std::int64_t n) {
     return static_cast<std::int64_t>(engine() % static_cast<std::uint64_t>(n));
   }
@@ -93,6 +93,7 @@
     h.wallets = std::make_unique<Wallets>(fleet, settings, journals ? &h.journal : nullptr, h.incarnation,
                                           rng.engine(), now + h.offset);
   }
+  // Ends the process; its journal keeps the durable lines and a random part of the others.
   void kill(std::size_t at) {
     Holder& h = holders[at];
     h.wallets.reset();
@@ -124,6 +125,8 @@
     return reserve_result;
   }
 
+  // Advances the clock by kTick: ends calls, syncs journals, applies the log, steps the wallets, appends
+  // commands.
   void tick() {
     now += kTick;
     log_sizes.push_back(log.size());
@@ -180,16 +183,17 @@
 
   static constexpr Time kTick = 5 * kMillisecond, kClockBound = 50 * kMillisecond;
   WalletSettings settings;
-  Rng rng;
+  FleetRng rng;
+  // majority: commands can be appended to the log. The probabilities are per tick.
   bool journals, majority = true, step_every_tick = false;
   double loss_probability = 0, resend_probability = 0.1, sync_probability = 0.3;
-  std::int64_t max_lag = 4;
+  std::int64_t max_lag = 4;  // ticks by which a balancer's ledger may be behind the log
   Time now = 1'000'000 * kSecond;
   std::vector<Holder> holders;
   std::vector<Command> log;
-  std::deque<std::size_t> log_sizes;
+  std::deque<std::size_t> log_sizes;  // of the last max_lag + 1 ticks
   Ledger committed;
-  std::int64_t served = 0;
+  std::int64_t served = 0;  // units committed by all balancers
 
  private:
   void apply_log(Holder& h, std::size_t until) {
--- a/tests/fleet/wallet/wallets_test.cpp
+++ b/tests/fleet/wallet/wallets_test.cpp
@@ -210,10 +210,10 @@
       spend(fleet, {200}, 2 * kSecond + fleet.rng.below(kSecond));
       for (std::size_t at : {1, 2, 3}) fleet.kill(at);
       fleet.run(5 * kSecond);
-      std::int64_t lapsed = 0;
-      for (const auto& [id, amount] : fleet.wallet().held_back) lapsed += amount;
-      CHECK(lapsed > 0);
-      CHECK(lapsed <= 3 * fleet.settings.max_held_back);
+      std::int64_t held_back = 0;
+      for (const auto& [id, amount] : fleet.wallet().held_back) held_back += amount;
+      CHECK(held_back > 0);
+      CHECK(held_back <= 3 * fleet.settings.max_held_back);
       for (std::size_t at : {1, 2, 3}) fleet.start(at);
       fleet.run(5 * kSecond);
       std::int64_t lost = fleet.wallet().spent - fleet.served;
