--- a/src/rebalance/connection_table.cpp
+++ b/src/rebalance/connection_table.cpp
@@ -6,99 +6,101 @@
 namespace marblehub::rebalance {
 namespace {
 
-constexpr double kNewReportWeight = 0.35;    // one noisy report moves nobody
-constexpr Time kLastingMemory = 20'000'000;  // an excess counts as far as it has lasted about so long
-constexpr double kLeastUsualLoad = 1e-9;
+constexpr double kReportWeight = 0.35;              // damps noise in single reports
+constexpr Time kLongTermTimeConstant = 20'000'000;  // of long_term_load
+constexpr double kMinMeanLoad = 1e-9;
 
 }  // namespace
 
-int ConnectionTable::index_of(const std::string& worker, std::mt19937_64& random) {
+int ConnectionTable::index_of(const std::string& worker, std::mt19937_64& rng) {
   auto [it, added] = index_.try_emplace(worker, static_cast<int>(workers_.size()));
   if (added) {
     workers_.emplace_back();
     workers_.back().name = worker;
-    // In a random phase: many balancers that hold a connection or two must not all begin with one move.
-    workers_.back().credit = std::uniform_real_distribution<double>(0, 1)(random);
+    // A random phase keeps balancers with few connections from all moving one in the same step.
+    workers_.back().move_credit = std::uniform_real_distribution<double>(0, 1)(rng);
   }
   return it->second;
 }
 
-void ConnectionTable::update(const Member& member, std::mt19937_64& random) {
-  Worker& worker = workers_[static_cast<std::size_t>(index_of(member.worker, random))];
+void ConnectionTable::update(const Member& member, std::mt19937_64& rng) {
+  Worker& worker = workers_[static_cast<std::size_t>(index_of(member.worker, rng))];
   worker.scale = member.scale > 0 ? member.scale : 1;
   worker.serving = member.serving;
-  if (member.start_time > worker.start_time) worker.level = -1;  // what was said of the old process is void
+  if (member.start_time > worker.start_time)
+    worker.reported_load = -1;  // reports of the previous process do not apply
   worker.start_time = std::max(worker.start_time, member.start_time);
 }
 
-void ConnectionTable::keep_only(const std::unordered_set<std::string>& named) {
-  for (Worker& worker : workers_) worker.serving = worker.serving && named.count(worker.name) > 0;
+void ConnectionTable::keep_only(const std::unordered_set<std::string>& listed) {
+  for (Worker& worker : workers_) worker.serving = worker.serving && listed.count(worker.name) > 0;
 }
 
-void ConnectionTable::report(const std::string& name, double load, Time now, Time stale,
-                             std::mt19937_64& random) {
-  Worker& worker = workers_[static_cast<std::size_t>(index_of(name, random))];
+void ConnectionTable::report(const std::string& name, double load, Time now, Time max_report_age,
+                             std::mt19937_64& rng) {
+  Worker& worker = workers_[static_cast<std::size_t>(index_of(name, rng))];
   const Time age = now - worker.reported_at;
-  const bool first = worker.level < 0 || age > stale;
-  double kept = std::exp(-static_cast<double>(age) / static_cast<double>(kLastingMemory));
-  worker.lasting = first ? load : load + (worker.lasting - load) * kept;
-  worker.level = first ? load : worker.level + kNewReportWeight * (load - worker.level);
+  const bool reset = worker.reported_load < 0 || age > max_report_age;
+  double decay = std::exp(-static_cast<double>(age) / static_cast<double>(kLongTermTimeConstant));
+  worker.long_term_load = reset ? load : load + (worker.long_term_load - load) * decay;
+  worker.reported_load = reset ? load : worker.reported_load + kReportWeight * (load - worker.reported_load);
   worker.reported_at = now;
 }
 
-bool ConnectionTable::add(const Connection& connection, Time now, std::mt19937_64& random) {
-  int index = index_of(connection.worker, random);
+bool ConnectionTable::add(const Connection& connection, Time now, std::mt19937_64& rng) {
+  int index = index_of(connection.worker, rng);
   Worker& worker = workers_[static_cast<std::size_t>(index)];
-  Standing standing;
-  standing.worker = index;
-  standing.place = worker.connections.size();
-  standing.load = connection.load > 0 ? connection.load : usual_load();
-  standing.group = connection.group;
-  standing.since = now;
-  // One whose past is not known may have been moved a moment before.
-  standing.returned = connection.returned || connection.found;
-  if (!connections_.emplace(connection.id, standing).second) return false;
+  Entry entry;
+  entry.worker = index;
+  entry.position = worker.connections.size();
+  entry.load = connection.load > 0 ? connection.load : mean_connection_load();
+  entry.group = connection.group;
+  entry.established_at = now;
+  // A connection of unknown age may have been moved just before.
+  entry.returned = connection.returned || connection.preexisting;
+  if (!connections_.emplace(connection.id, entry).second) return false;
   worker.connections.push_back(connection.id);
-  worker.load += standing.load;
-  if (standing.group != 0) worker.groups[standing.group] += 1;
+  worker.connection_load += entry.load;
+  if (entry.group != 0) worker.groups[entry.group] += 1;
   return true;
 }
 
 bool ConnectionTable::remove(std::uint64_t id) {
   auto it = connections_.find(id);
   if (it == connections_.end()) return false;
-  const Standing& standing = it->second;
-  Worker& worker = worker_of(standing);
-  worker.load = worker.connections.size() > 1 ? std::max(0.0, worker.load - standing.load) : 0;
-  if (standing.group != 0 && --worker.groups[standing.group] <= 0) worker.groups.erase(standing.group);
-  connections_.at(worker.connections.back()).place = standing.place;
-  worker.connections[standing.place] = worker.connections.back();
+  const Entry& entry = it->second;
+  Worker& worker = worker_of(entry);
+  worker.connection_load =
+      worker.connections.size() > 1 ? std::max(0.0, worker.connection_load - entry.load) : 0;
+  if (entry.group != 0 && --worker.groups[entry.group] <= 0) worker.groups.erase(entry.group);
+  connections_.at(worker.connections.back()).position = entry.position;
+  worker.connections[entry.position] = worker.connections.back();
   worker.connections.pop_back();
   connections_.erase(it);
   return true;
 }
 
 void ConnectionTable::set_load(std::uint64_t id, double load) {
-  Standing* standing = find(id);
-  if (!standing || load <= 0) return;
-  worker_of(*standing).load += load - standing->load;
-  standing->load = load;
+  Entry* entry = find(id);
+  if (!entry || load <= 0) return;
+  worker_of(*entry).connection_load += load - entry->load;
+  entry->load = load;
 }
 
-ConnectionTable::Standing* ConnectionTable::find(std::uint64_t id) {
+ConnectionTable::Entry* ConnectionTable::find(std::uint64_t id) {
   auto it = connections_.find(id);
   return it == connections_.end() ? nullptr : &it->second;
 }
 
-double ConnectionTable::total_load() const {
+double ConnectionTable::total_connection_load() const {
   double load = 0;
-  for (const Worker& worker : workers_) load += worker.load;
+  for (const Worker& worker : workers_) load += worker.connection_load;
   return load;
 }
 
-double ConnectionTable::usual_load() const {
+double ConnectionTable::mean_connection_load() const {
   if (connections_.empty()) return 1;
-  return std::max(kLeastUsualLoad, total_load() / static_cast<double>(connections_.size()));
+  return std::max(kMinMeanLoad, total_connection_load() / static_cast<double>(connections_.size()));
 }
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/connection_table.h
+++ b/src/rebalance/connection_table.h
@@ -1,4 +1,4 @@
-/// The workers and the connections that stand at them, as the planner has been shown them.
+/// The planner's record of the fleet's workers and of this balancer's established connections.
 #pragma once
 
 #include <cstdint>
@@ -13,81 +13,90 @@
 
 namespace marblehub::rebalance {
 
-/// A worker, as the endpoint list has it.
+/// A worker as given by the endpoint list.
 struct Member {
   std::string worker;
-  double scale = 1;
-  Time start_time = 0;  // 0: long ago
-  bool serving = true;  // else it drains or is gone
+  double scale = 1;     // capacity relative to a worker of scale 1
+  Time start_time = 0;  // 0: warmed up long ago
+  bool serving = true;  // false: draining or removed
 };
 
-/// A connection that stands.
+/// An established connection, as reported to the planner.
 struct Connection {
   std::uint64_t id = 0;
   std::string worker;
-  double load = 0;  // work a second; 0: unknown, then a usual one
+  double load = 0;  // work per second; 0: unknown, the mean of all is assumed
   std::uint64_t group = 0;
-  bool returned = false;  // its client has come back after a break or a move
-  bool found = false;     // it stood before this balancer knew it: its age is unknown
+  bool returned = false;     // the client reconnected after a failure or a move
+  bool preexisting = false;  // established before this balancer knew of it: age unknown
 };
 
+/// Indexes connections by id and by worker, with the load and the group counts of each worker.
 class ConnectionTable {
  public:
-  struct Standing {  // a connection
-    int worker = -1;
-    std::size_t place = 0;  // in its worker's list
+  /// The state kept for one connection.
+  struct Entry {
+    int worker = -1;           // index into workers()
+    std::size_t position = 0;  // in Worker::connections
     double load = 0;
     std::uint64_t group = 0;
-    Time since = 0;
-    bool returned = false;
+    Time established_at = 0;
+    bool returned = false;  // also true for preexisting connections
   };
+  /// The state kept for one worker, its load as share of its capacity.
   struct Worker {
     std::string name;
     double scale = 1;
     Time start_time = 0;
     bool serving = true;
-    double level = -1;   // reported load, smoothed; negative: never reported
-    double lasting = 0;  // the same, smoothed over long
+    double reported_load = -1;  // smoothed; negative: never reported
+    double long_term_load = 0;  // smoothed over a longer time
     Time reported_at = 0;
     std::vector<std::uint64_t> connections;
-    std::map<std::uint64_t, int> groups;  // connections of each
-    double load = 0;                      // of the connections
-    double credit = 0;                    // moves due, in part
+    std::map<std::uint64_t, int> groups;  // number of connections per group
+    double connection_load = 0;           // work per second of its connections
+    double move_credit = 0;               // moves due; fractions accumulate over steps
 
-    /// Whether its load is known and not older than `stale`.
-    bool known(Time now, Time stale) const { return serving && level >= 0 && now - reported_at <= stale; }
+    /// Whether the worker serves and its last report is no older than `max_report_age`.
+    bool has_current_report(Time now, Time max_report_age) const {
+      return serving && reported_load >= 0 && now - reported_at <= max_report_age;
+    }
   };
 
-  // `random` draws the phase of a new worker's moves.
+  // `rng` draws the initial move credit of a worker that is new to the table.
 
-  void update(const Member& member, std::mt19937_64& random);
-  /// What a complete list does not name is gone.
-  void keep_only(const std::unordered_set<std::string>& named);
-  void report(const std::string& worker, double load, Time now, Time stale, std::mt19937_64& random);
+  /// Adds the worker or updates it. A later start time discards its reported load.
+  void update(const Member& member, std::mt19937_64& rng);
+  /// Marks every worker that a complete endpoint list does not name as not serving.
+  void keep_only(const std::unordered_set<std::string>& listed);
+  /// Records a load report; after a gap longer than `max_report_age` smoothing starts over.
+  void report(const std::string& worker, double load, Time now, Time max_report_age, std::mt19937_64& rng);
 
-  /// False if a connection of that id stands already.
-  bool add(const Connection& connection, Time now, std::mt19937_64& random);
-  /// False if there is none of that id.
+  /// False if the id is already in the table.
+  bool add(const Connection& connection, Time now, std::mt19937_64& rng);
+  /// False if the id is not in the table.
   bool remove(std::uint64_t id);
+  /// Ignores unknown ids and loads that are not positive.
   void set_load(std::uint64_t id, double load);
-  Standing* find(std::uint64_t id);
-  const Standing& at(std::uint64_t id) const { return connections_.at(id); }
+  /// Null if the id is not in the table; valid until the entry is removed.
+  Entry* find(std::uint64_t id);
+  const Entry& at(std::uint64_t id) const { return connections_.at(id); }
 
   std::vector<Worker>& workers() { return workers_; }
   const std::vector<Worker>& workers() const { return workers_; }
-  Worker& worker_of(const Standing& standing) { return workers_[static_cast<std::size_t>(standing.worker)]; }
+  Worker& worker_of(const Entry& entry) { return workers_[static_cast<std::size_t>(entry.worker)]; }
   std::size_t size() const { return connections_.size(); }
 
-  /// Work a second of all connections, and of a usual one.
-  double total_load() const;
-  double usual_load() const;
+  /// Work per second of all connections, and the mean of one (1 if there are none).
+  double total_connection_load() const;
+  double mean_connection_load() const;
 
  private:
-  int index_of(const std::string& worker, std::mt19937_64& random);
+  int index_of(const std::string& worker, std::mt19937_64& rng);
 
-  std::vector<Worker> workers_;  // never shrinks: an index stays good
+  std::vector<Worker> workers_;  // never shrinks, so indices stay valid
   std::unordered_map<std::string, int> index_;
-  std::unordered_map<std::uint64_t, Standing> connections_;
+  std::unordered_map<std::uint64_t, Entry> connections_;
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -7,29 +7,31 @@
 namespace marblehub::rebalance {
 namespace {
 
-constexpr std::uint64_t kOwnSeed = 0x5bd1e995;  // the module draws from the same seed
-constexpr core::Time kRoutesAgain = 10'000'000;
-constexpr core::Time kSaid = 10'000'000;  // between two lines of the log about its state
+constexpr std::uint64_t kSeedMask = 0x5bd1e995;       // separates its random numbers from those of the policy
+constexpr core::Time kRecheckInterval = 10'000'000;   // of the search for out-of-pool connections
+constexpr core::Time kStateLogInterval = 10'000'000;  // minimum time between log lines about the state
 
-Fleet fleet_of(const config::Startup& startup) {
+FleetConfig fleet_config_of(const config::Startup& startup) {
   const marblehub::policy::Settings& s = startup.settings;
-  return {s.balancers, s.balancer_index, s.cold_share, s.warm_within_us, startup.seed ^ kOwnSeed};
+  return {s.balancers, s.balancer_index, s.cold_share, s.warm_within_us, startup.seed ^ kSeedMask};
 }
 
 }  // namespace
 
 Counters::Counters(metrics::Registry& metrics)
-    : moved(metrics.counter("marblehub_rebalance_moves_total", "Clients told to move for balance")),
+    : moved(metrics.counter("marblehub_rebalance_moves_total", "Clients told to move by rebalancing")),
       planned(metrics.counter("marblehub_rebalance_planned_total",
-                              "Moves for balance that were planned, carried out or not")),
-      gap(metrics.gauge("marblehub_rebalance_gap", "Highest less lowest load a capacity")),
-      highest(metrics.gauge("marblehub_rebalance_highest_load", "Load a capacity of the fullest worker")),
-      mean(metrics.gauge("marblehub_rebalance_mean_load", "Load a capacity of all workers seen")),
-      paused(
-          metrics.gauge("marblehub_rebalance_paused", "Whether an operator has paused moves for balance")) {
+                              "Moves planned by rebalancing, carried out or not")),
+      gap(metrics.gauge("marblehub_rebalance_gap",
+                        "Highest minus lowest load of the workers, relative to capacity")),
+      max_load(metrics.gauge("marblehub_rebalance_highest_load",
+                             "Highest load of a worker, relative to capacity")),
+      mean_load(
+          metrics.gauge("marblehub_rebalance_mean_load", "Mean load of the workers, relative to capacity")),
+      paused(metrics.gauge("marblehub_rebalance_paused", "Whether an operator has paused rebalancing")) {
   for (int i = 0; i < kPlannerStateCount; ++i)
     seconds.push_back(&metrics.counter("marblehub_rebalance_seconds_total",
-                                       "Time in which moves for balance were made, or why they were not",
+                                       "Seconds that rebalancing was in each state",
                                        {{"state", name_of(static_cast<PlannerState>(i))}}));
 }
 
@@ -37,8 +39,8 @@
                Counters& counters)
     : settings_(settings),
       dispatcher_(dispatcher),
-      planner_(settings, fleet_of(startup), dispatcher.now()),
-      stepped_at_(dispatcher.now()),
+      planner_(settings, fleet_config_of(startup), dispatcher.now()),
+      last_step_at_(dispatcher.now()),
       counters_(counters) {
   members(startup.known);
   dispatcher.set_standing_watch(*this);
@@ -51,21 +53,22 @@
 
 Plan Driver::step() {
   core::Time now = dispatcher_.now();
-  look_outside(now);
+  check_out_of_pool(now);
   Plan plan = planner_.plan(now);
-  counters_.seconds[static_cast<std::size_t>(plan.state)]->add(static_cast<double>(now - stepped_at_) / 1e6);
-  stepped_at_ = now;
-  // Near balance it comes and goes with every report: the counters tell that, the log need not.
-  if (plan.state != state_ && now - said_at_ >= kSaid) {
+  counters_.seconds[static_cast<std::size_t>(plan.state)]->add(static_cast<double>(now - last_step_at_) /
+                                                               1e6);
+  last_step_at_ = now;
+  // Near balance the state changes with every report; the log is limited, the counters have every change.
+  if (plan.state != logged_state_ && now - logged_at_ >= kStateLogInterval) {
     log::info("rebalancing: {}, gap {:.2f}, mean load {:.2f}", name_of(plan.state), planner_.gap(),
-              planner_.mean());
-    state_ = plan.state;
-    said_at_ = now;
+              planner_.mean_load());
+    logged_state_ = plan.state;
+    logged_at_ = now;
   }
   counters_.planned.add(static_cast<double>(plan.moves.size()));
   counters_.gap.set(planner_.gap());
-  counters_.highest.set(planner_.highest());
-  counters_.mean.set(planner_.mean());
+  counters_.max_load.set(planner_.max_load());
+  counters_.mean_load.set(planner_.mean_load());
   for (std::uint64_t id : plan.moves) {
     log::debug("rebalancing: call {} {}", id, settings_.dry_run ? "would move" : "moves");
     if (!settings_.dry_run && dispatcher_.move(id)) counters_.moved.add();
@@ -73,13 +76,15 @@
   return plan;
 }
 
-// Again after a while: a call that began by the version before may have come to stand since.
-void Driver::look_outside(core::Time now) {
+// Repeats the check while routes are unchanged: a call placed by the previous version may have been
+// established since.
+void Driver::check_out_of_pool(core::Time now) {
   std::uint64_t changes = dispatcher_.gate_changes();
-  if (changes == 0 || (changes == routes_seen_ && now - routes_seen_at_ < kRoutesAgain)) return;
-  routes_seen_ = changes;
-  routes_seen_at_ = now;
-  planner_.outside(dispatcher_.outside());
+  if (changes == 0 || (changes == checked_gate_changes_ && now - out_of_pool_checked_at_ < kRecheckInterval))
+    return;
+  checked_gate_changes_ = changes;
+  out_of_pool_checked_at_ = now;
+  planner_.set_out_of_pool(dispatcher_.outside());
 }
 
 void Driver::set_paused(bool on) {
@@ -88,26 +93,27 @@
   counters_.paused.set(on);
 }
 
-void Driver::stands(std::uint64_t id, const std::string& worker, const core::Call& call, bool found) {
-  planner_.stands(dispatcher_.now(), {id, worker, call.load_hint, call.group, call.returned, found});
+void Driver::stands(std::uint64_t id, const std::string& worker, const core::Call& call, bool preexisting) {
+  planner_.connection_established(dispatcher_.now(),
+                                  {id, worker, call.load_hint, call.group, call.returned, preexisting});
 }
 
 void Driver::reported(const std::string& worker, double load) {
-  planner_.reported(dispatcher_.now(), worker, load);
+  planner_.load_reported(dispatcher_.now(), worker, load);
 }
 
 void Driver::members(const config::WorkerList& list) {
-  std::unordered_set<std::string> named;
+  std::unordered_set<std::string> listed;
   for (const config::WorkerEntry& entry : list.workers) {
-    planner_.member({entry.backend.address, entry.backend.scale, entry.backend.start_time,
-                     entry.backend.health == marblehub::policy::Health::serving});
-    named.insert(entry.backend.address);
+    planner_.update_member({entry.backend.address, entry.backend.scale, entry.backend.start_time,
+                            entry.backend.health == marblehub::policy::Health::serving});
+    listed.insert(entry.backend.address);
   }
-  if (list.snapshot) planner_.only(named);
+  if (list.snapshot) planner_.keep_only_members(listed);
 }
 
-void Driver::answered(bool refused) { planner_.answered(dispatcher_.now(), refused); }
+void Driver::answered(bool refused) { planner_.call_answered(dispatcher_.now(), refused); }
 
-void Driver::told_to_move() { planner_.told_to_move(dispatcher_.now()); }
+void Driver::told_to_move() { planner_.move_requested(dispatcher_.now()); }
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/driver.h
+++ b/src/rebalance/driver.h
@@ -1,5 +1,4 @@
-// Shows the planner what stands, and carries out what it plans: one a balancer. It has no clock and no I/O of
-// its own; whoever owns it calls step about once a second, and says when an operator pauses it.
+/// Connects the rebalancing planner to the dispatcher.
 #pragma once
 
 #include <vector>
@@ -10,46 +9,51 @@
 
 namespace marblehub::rebalance {
 
-// What is counted, whether the planner is on or not.
+/// The metrics of rebalancing; exported whether it is enabled or not. The registry owns them.
 struct Counters {
   explicit Counters(metrics::Registry& metrics);
-  metrics::Metric &moved, &planned, &gap, &highest, &mean, &paused;
-  std::vector<metrics::Metric*> seconds;  // in each state
+  metrics::Metric &moved, &planned, &gap, &max_load, &mean_load, &paused;
+  std::vector<metrics::Metric*> seconds;  // by PlannerState
 };
 
+/// Reports the dispatcher's connections, loads and answers to the planner and carries out its plans: one per
+/// balancer. Has no timer; its owner calls step() about once a second.
 class Driver : public core::StandingWatch {
  public:
-  // From then on it watches the dispatcher; `startup` is what the dispatcher was made with.
+  /// Registers with the dispatcher; `startup` is what the dispatcher was created with. Dispatcher and
+  /// counters outlive the driver.
   Driver(const Settings& settings, core::Dispatcher& dispatcher, const config::Startup& startup,
          Counters& counters);
 
-  Plan step();  // what was planned; in a dry run none of it is done
+  /// Makes a plan, carries it out unless this is a dry run, and returns it.
+  Plan step();
+  /// Pauses or resumes moves on behalf of an operator.
   void set_paused(bool on);
-  // Other settings from now on. What has been moved in the last minute still counts.
+  /// Replaces the settings; moves of the last minute still count towards the limits.
   void update_settings(const Settings& settings);
   bool paused() const { return planner_.paused(); }
   const Settings& settings() const { return settings_; }
   const Planner& planner() const { return planner_; }
 
   // core::StandingWatch
-  void stands(std::uint64_t id, const std::string& worker, const core::Call& call, bool found) override;
-  void load_is(std::uint64_t id, double load) override { planner_.load_is(id, load); }
-  void gone(std::uint64_t id) override { planner_.gone(id); }
+  void stands(std::uint64_t id, const std::string& worker, const core::Call& call, bool preexisting) override;
+  void load_is(std::uint64_t id, double load) override { planner_.set_load(id, load); }
+  void gone(std::uint64_t id) override { planner_.connection_ended(id); }
   void reported(const std::string& worker, double load) override;
   void members(const config::WorkerList& list) override;
   void answered(bool refused) override;
   void told_to_move() override;
 
  private:
-  void look_outside(core::Time now);
+  void check_out_of_pool(core::Time now);
 
   Settings settings_;
   core::Dispatcher& dispatcher_;
   Planner planner_;
-  std::uint64_t routes_seen_ = 0;  // the gate's changes when it was last asked who stands outside
-  core::Time routes_seen_at_ = 0;
-  PlannerState state_ = PlannerState::starting;
-  core::Time stepped_at_ = 0, said_at_ = 0;
+  std::uint64_t checked_gate_changes_ = 0;  // at the last check for out-of-pool connections
+  core::Time out_of_pool_checked_at_ = 0;
+  PlannerState logged_state_ = PlannerState::starting;
+  core::Time last_step_at_ = 0, logged_at_ = 0;
   Counters& counters_;
 };
 
--- a/src/rebalance/fleet.h
+++ b/src/rebalance/fleet.h
@@ -1,4 +1,4 @@
-/// What a planner is told of the fleet once, for its balancer's life.
+/// Properties of the fleet that stay fixed for the lifetime of a planner.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,13 @@
 
 using policy::Time;
 
-struct Fleet {
+/// The number of balancers, this one's index, and how workers warm up.
+struct FleetConfig {
   int balancers = 1;
-  int me = 0;  // this balancer's number, from 0
-  double cold_share = 1;
-  Time warm_within = 0;
-  std::uint64_t seed = 1;
+  int balancer_index = 0;  // of this balancer, from 0
+  double cold_share = 1;   // share of its capacity that a worker has when it starts
+  Time warm_within = 0;    // time until it has all of it, in microseconds; 0: at once
+  std::uint64_t seed = 1;  // of the planner's random generators
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/fleet_view.cpp
+++ b/src/rebalance/fleet_view.cpp
@@ -7,44 +7,48 @@
 namespace marblehub::rebalance {
 namespace {
 
-constexpr double kNoLowest = 1e9;
+constexpr double kNoMinimum = 1e9;
 
 }  // namespace
 
-double capacity_factor(const ConnectionTable::Worker& worker, const Fleet& fleet, Time now) {
+double capacity_factor(const ConnectionTable::Worker& worker, const FleetConfig& fleet, Time now) {
   return policy::slow_start_factor(worker.start_time, now, fleet.cold_share, fleet.warm_within);
 }
 
-FleetView view_of(const ConnectionTable& table, const Fleet& fleet, Time now, Time stale) {
+FleetView compute_fleet_view(const ConnectionTable& table, const FleetConfig& fleet, Time now,
+                             Time max_report_age) {
   FleetView view;
-  double sum = 0, lasting = 0, lowest = kNoLowest, highest_lasting = 0, lowest_lasting = kNoLowest;
+  double load_sum = 0, long_term_sum = 0, min_load = kNoMinimum, max_long_term = 0,
+         min_long_term = kNoMinimum;
   for (const ConnectionTable::Worker& worker : table.workers()) {
-    if (!worker.serving || worker.level < 0) continue;
-    view.reported += 1;
-    if (!worker.known(now, stale)) {
-      view.stale += 1;
+    if (!worker.serving || worker.reported_load < 0) continue;
+    view.reporting_workers += 1;
+    if (!worker.has_current_report(now, max_report_age)) {
+      view.stale_workers += 1;
       continue;
     }
-    double size = worker.scale * capacity_factor(worker, fleet, now);
-    view.scales += size;
-    sum += size * worker.level;
-    lasting += size * worker.lasting;
-    highest_lasting = std::max(highest_lasting, worker.lasting);
-    lowest_lasting = std::min(lowest_lasting, worker.lasting);
-    view.highest = std::max(view.highest, worker.level);
-    lowest = std::min(lowest, worker.level);
+    double capacity = worker.scale * capacity_factor(worker, fleet, now);
+    view.capacity += capacity;
+    load_sum += capacity * worker.reported_load;
+    long_term_sum += capacity * worker.long_term_load;
+    max_long_term = std::max(max_long_term, worker.long_term_load);
+    min_long_term = std::min(min_long_term, worker.long_term_load);
+    view.max_load = std::max(view.max_load, worker.reported_load);
+    min_load = std::min(min_load, worker.reported_load);
   }
-  if (view.scales <= 0) return view;
-  view.mean = sum / view.scales;
-  view.lasting = lasting / view.scales;
-  view.gap = std::min(view.highest - lowest, highest_lasting - lowest_lasting);
+  if (view.capacity <= 0) return view;
+  view.mean_load = load_sum / view.capacity;
+  view.long_term_mean = long_term_sum / view.capacity;
+  view.gap = std::min(view.max_load - min_load, max_long_term - min_long_term);
   for (const ConnectionTable::Worker& worker : table.workers()) {
-    if (!worker.known(now, stale)) continue;
+    if (!worker.has_current_report(now, max_report_age)) continue;
     double factor = capacity_factor(worker, fleet, now);
-    double size = worker.scale * factor;
-    if (worker.level > view.mean) view.excess += (worker.level - view.mean) * size;
-    // What warms up takes less than its headroom seems to allow: its part comes as it warms.
-    if (worker.level < view.mean) view.headroom += (view.mean - worker.level) * size * factor;
+    double capacity = worker.scale * factor;
+    if (worker.reported_load > view.mean_load)
+      view.excess += (worker.reported_load - view.mean_load) * capacity;
+    // Uses only part of the headroom of a worker that warms up; the rest becomes available as it warms.
+    if (worker.reported_load < view.mean_load)
+      view.headroom += (view.mean_load - worker.reported_load) * capacity * factor;
   }
   return view;
 }
--- a/src/rebalance/hysteresis_gate.cpp
+++ b/src/rebalance/hysteresis_gate.cpp
@@ -3,18 +3,18 @@
 namespace marblehub::rebalance {
 namespace {
 
-constexpr Time kReopensAfter = 10'000'000;
+constexpr Time kReopenDelay = 10'000'000;
 
 }  // namespace
 
-void HysteresisGate::update(bool bad, bool well, Time now) {
-  if (bad) shut_ = true;
-  if (!shut_ || !well) {
-    well_since_ = -1;
+void HysteresisGate::update(bool close, bool clear, Time now) {
+  if (close) closed_ = true;
+  if (!closed_ || !clear) {
+    clear_since_ = -1;
     return;
   }
-  if (well_since_ < 0) well_since_ = now;
-  if (now - well_since_ >= kReopensAfter) shut_ = false;
+  if (clear_since_ < 0) clear_since_ = now;
+  if (now - clear_since_ >= kReopenDelay) closed_ = false;
 }
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/hysteresis_gate.h
+++ b/src/rebalance/hysteresis_gate.h
@@ -1,4 +1,4 @@
-/// A condition that stops moves at once, and lets them go on only after it has been well for a while.
+/// A gate that closes at once and reopens only after its condition has been clear for a while.
 #pragma once
 
 #include "marblehub/policy.h"
@@ -7,15 +7,16 @@
 
 using policy::Time;
 
+/// Stops moves while a condition of the fleet holds. Open at first.
 class HysteresisGate {
  public:
-  /// `bad` shuts it; once `well` has held for the reopening time it opens again.
-  void update(bool bad, bool well, Time now);
-  bool shut() const { return shut_; }
+  /// `close` closes the gate; it reopens after `clear` has held without a break for the reopen delay.
+  void update(bool close, bool clear, Time now);
+  bool closed() const { return closed_; }
 
  private:
-  bool shut_ = false;
-  Time well_since_ = -1;  // -1: it is not well
+  bool closed_ = false;
+  Time clear_since_ = -1;  // -1: not clear, or the gate is open
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/move_limits.h
+++ b/src/rebalance/move_limits.h
@@ -1,5 +1,4 @@
-/// How many moves may be made: the limits a minute of this balancer and of the fleet, and what the session
-/// store bears.
+/// Rate limits on moves: per minute of this balancer and of the fleet, and the load on the session store.
 #pragma once
 
 #include <cstddef>
@@ -10,37 +9,38 @@
 
 namespace marblehub::rebalance {
 
+/// Counts moves and connection setups of the last minute and derives how many more moves are allowed.
 class MoveLimits {
  public:
-  explicit MoveLimits(const Fleet& fleet) : fleet_(fleet) {}
-
-  /// A connection was moved by the planner.
-  void moved(Time now) { moved_.push_back(now); }
-  /// A client set up a connection at this balancer.
-  void set_up(Time now) { set_ups_.push_back(now); }
-  /// A client was told to move, by whomever: it will call the session store.
-  void told_to_move(Time now) { to_come_.push_back(now); }
-  /// One that was told to move has come back.
-  void came_back() {
-    if (!to_come_.empty()) to_come_.pop_front();
+  explicit MoveLimits(const FleetConfig& fleet) : fleet_(fleet) {}
+
+  /// The planner moved a connection.
+  void record_move(Time now) { moves_.push_back(now); }
+  /// A client set up a connection at this balancer, which costs a session store call.
+  void record_setup(Time now) { setups_.push_back(now); }
+  /// A client was told to move, by the planner or otherwise; its reconnect will call the session store.
+  void record_move_request(Time now) { expected_setups_.push_back(now); }
+  /// A client that was told to move has reconnected.
+  void record_return() {
+    if (!expected_setups_.empty()) expected_setups_.pop_front();
   }
 
-  /// Forgets what lies over a minute back.
-  void forget_old(Time now);
+  /// Drops everything recorded more than a minute ago. Call it before the checks below.
+  void drop_expired(Time now);
 
-  /// Moves that may still be made now under the limits of this balancer and the fleet.
+  /// Number of moves still allowed now by the limits of this balancer and of the fleet.
   std::size_t allowance(const Settings& settings, Time now) const;
 
-  /// Whether the session store bears one more move beside `planned` that are not counted yet.
+  /// Whether the session store limit allows one more move on top of `planned` moves not yet recorded.
   bool store_allows(const Settings& settings, Time now, std::size_t planned) const;
 
  private:
-  std::size_t allowance_in_turns(double fleet_a_minute, Time now) const;
+  std::size_t slot_allowance(double fleet_moves_per_minute, Time now) const;
 
-  const Fleet fleet_;
-  std::deque<Time> moved_;    // within the last minute, like the others
-  std::deque<Time> set_ups_;  // at this balancer
-  std::deque<Time> to_come_;  // set-ups that moves will make
+  const FleetConfig fleet_;
+  std::deque<Time> moves_;            // times within the last minute, like the others
+  std::deque<Time> setups_;           // at this balancer
+  std::deque<Time> expected_setups_;  // of clients told to move that have not reconnected yet
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/progress_watch.cpp
+++ b/src/rebalance/progress_watch.cpp
@@ -5,29 +5,30 @@
 namespace marblehub::rebalance {
 namespace {
 
-constexpr double kNarrowed = 0.9;  // the gap must have come down to this part of what it was
-constexpr int kMostDoublings = 4;  // of the rest after fruitless tries
+constexpr double kProgressRatio = 0.9;  // the gap must shrink to this share of its maximum
+constexpr int kMaxDoublings = 4;        // of the pause
 
 }  // namespace
 
-bool ProgressWatch::may_go_on(double gap, Time timeout, Time now) {
-  if (now < rest_until_) return false;
-  if (since_ < 0) since_ = now;
-  // A gap that opened after the watch began, as new workers report, is what the moves are measured by.
-  gap_ = std::max(gap_, gap);
-  if (now - since_ < timeout) return true;
+bool ProgressWatch::allows_moves(double gap, Time timeout, Time now) {
+  if (now < paused_until_) return false;
+  if (period_start_ < 0) period_start_ = now;
+  // The gap may widen during a period, for example as new workers report; progress is measured from the
+  // widest.
+  max_gap_ = std::max(max_gap_, gap);
+  if (now - period_start_ < timeout) return true;
   const bool tried = moves_ > 0;
-  const bool narrowed = gap <= gap_ * kNarrowed;
-  since_ = now;
-  gap_ = gap;
+  const bool narrowed = gap <= max_gap_ * kProgressRatio;
+  period_start_ = now;
+  max_gap_ = gap;
   moves_ = 0;
   if (!tried) return true;
   if (narrowed) {
-    fruitless_ = 0;
+    failed_periods_ = 0;
     return true;
   }
-  rest_until_ = now + timeout * (Time{1} << std::min(fruitless_, kMostDoublings));
-  fruitless_ += 1;
+  paused_until_ = now + timeout * (Time{1} << std::min(failed_periods_, kMaxDoublings));
+  failed_periods_ += 1;
   return false;
 }
 
--- a/src/rebalance/progress_watch.h
+++ b/src/rebalance/progress_watch.h
@@ -1,4 +1,4 @@
-/// Whether moves narrow the gap. Those that do not are stopped: the cause is not one that moves mend.
+/// Pauses moves that do not narrow the gap.
 #pragma once
 
 #include "marblehub/policy.h"
@@ -7,21 +7,22 @@
 
 using policy::Time;
 
+/// Compares the gap at the end of each period in which moves were made to the widest gap of the period.
 class ProgressWatch {
  public:
-  /// A move was made.
-  void moved() { moves_ += 1; }
+  /// A move was planned.
+  void record_move() { moves_ += 1; }
 
-  /// Whether moves may go on. The gap must have narrowed within `timeout`, else they rest; the rest grows
-  /// with each try in vain, and the first that helps ends that.
-  bool may_go_on(double gap, Time timeout, Time now);
+  /// Whether moves may continue. If a period of `timeout` with moves has not narrowed the gap, moves pause;
+  /// the pause doubles with each further failed period, up to a bound, and a successful one resets it.
+  bool allows_moves(double gap, Time timeout, Time now);
 
  private:
-  double gap_ = 0;  // the widest since the present try began
-  Time since_ = -1;
-  Time rest_until_ = -1;
-  int moves_ = 0;      // of the present try
-  int fruitless_ = 0;  // tries, in a row
+  double max_gap_ = 0;  // the widest of the current period
+  Time period_start_ = -1;
+  Time paused_until_ = -1;
+  int moves_ = 0;           // in the current period
+  int failed_periods_ = 0;  // in a row
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/settings.cpp
+++ b/src/rebalance/settings.cpp
@@ -5,12 +5,12 @@
 
 using config::Options;
 
-Time seconds(const Options& options, std::string_view key, double least, Time absent) {
-  return static_cast<Time>(options.number_or(key, least, static_cast<double>(absent) / 1e6) * 1e6);
+Time seconds(const Options& options, std::string_view key, double min, Time fallback) {
+  return static_cast<Time>(options.number_or(key, min, static_cast<double>(fallback) / 1e6) * 1e6);
 }
 
-// hh:mm, as a minute of the day.
-int minute(const Options& options, const char* key) {
+// Parses hh:mm into the minute of the day.
+int minute_of_day(const Options& options, const char* key) {
   const std::string& text = options.text(key);
   auto hours = text.size() == 5 && text[2] == ':' ? config::number_in<int>(text.substr(0, 2)) : std::nullopt;
   auto minutes = hours ? config::number_in<int>(text.substr(3)) : std::nullopt;
@@ -31,8 +31,8 @@
   s.min_move_interval = seconds(options, "floor_s", 0, s.min_move_interval);
   s.settle_time = seconds(options, "settle_s", 0, s.settle_time);
   s.half_life = seconds(options, "half_s", 5, s.half_life);
-  if (options.find("quiet_from")) s.quiet_from = minute(options, "quiet_from");
-  if (options.find("quiet_to")) s.quiet_to = minute(options, "quiet_to");
+  if (options.find("quiet_from")) s.quiet_from = minute_of_day(options, "quiet_from");
+  if (options.find("quiet_to")) s.quiet_to = minute_of_day(options, "quiet_to");
   if ((s.quiet_from < 0) != (s.quiet_to < 0))
     options.refuse(s.quiet_from < 0 ? "quiet_from" : "quiet_to", "both or neither");
   s.min_gain = options.number_or("price", 0.0, s.min_gain);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -28,17 +28,18 @@
 struct Floor {
   explicit Floor(const Settings& settings, int balancers = 1, double capacity = 100) : capacity(capacity) {
     for (int i = 0; i < balancers; ++i)
-      planners.emplace_back(settings,
-                            Fleet{balancers, i, 0.3, 30 * kSecond, static_cast<std::uint64_t>(i + 1)}, now);
+      planners.emplace_back(
+          settings, FleetConfig{balancers, i, 0.3, 30 * kSecond, static_cast<std::uint64_t>(i + 1)}, now);
   }
   void worker(const std::string& name, bool serving = true, Time started = 0) {
-    for (Planner& p : planners) p.member({name, 1, started, serving});
+    for (Planner& p : planners) p.update_member({name, 1, started, serving});
     loads.emplace(name, 0);
   }
   std::uint64_t stand(int planner, const std::string& worker, double load = 1, std::uint64_t group = 0,
                       bool returned = false, bool found = false) {
     std::uint64_t id = next++;
-    planners[static_cast<std::size_t>(planner)].stands(now, {id, worker, load, group, returned, found});
+    planners[static_cast<std::size_t>(planner)].connection_established(
+        now, {id, worker, load, group, returned, found});
     at[id] = {worker, load};
     loads[worker] += load;
     return id;
@@ -46,7 +47,7 @@
   void report() {
     for (Planner& p : planners)
       for (auto& [name, load] : loads)
-        if (!silent.count(name)) p.reported(now, name, load / capacity);
+        if (!silent.count(name)) p.load_reported(now, name, load / capacity);
   }
   // A second of every planner; what moves goes to the emptiest worker, as a module would have it in the end.
   std::size_t step() {
@@ -195,9 +196,9 @@
   s.dry_run = true;
   Floor f = uneven(s);
   f.dry = true;
-  std::size_t standing = f.planners[0].standing();
+  std::size_t standing = f.planners[0].connection_count();
   CHECK(f.run(120) > 3);
-  CHECK(f.planners[0].standing() == standing);
+  CHECK(f.planners[0].connection_count() == standing);
 }
 
 TEST_CASE("the planner says why it stands still") {
@@ -241,10 +242,10 @@
   SECTION("refusals rise") {
     Floor f = uneven(free_settings());
     f.run(61);
-    for (int i = 0; i < 100; ++i) f.planners[0].answered(f.now, i % 10 == 0);
+    for (int i = 0; i < 100; ++i) f.planners[0].call_answered(f.now, i % 10 == 0);
     CHECK(f.run(2) == 0);
     CHECK(f.last == PlannerState::many_refusals);
-    for (int i = 0; i < 900; ++i) f.planners[0].answered(f.now, false);
+    for (int i = 0; i < 900; ++i) f.planners[0].call_answered(f.now, false);
     CHECK(f.run(8) == 0);  // not at once
     f.run(10);
     CHECK(f.last == PlannerState::acting);
@@ -262,7 +263,7 @@
     for (int second = 0; second < 100; ++second) {  // most leave within two seconds of coming
       std::uint64_t id = f.stand(0, "a", 0.001);
       f.step();
-      f.planners[0].gone(id);
+      f.planners[0].connection_ended(id);
     }
     std::size_t before = f.moves.size();
     f.run(3);
@@ -274,7 +275,7 @@
       std::vector<std::uint64_t> brief;
       for (int i = 0; i < 30; ++i) brief.push_back(g.stand(0, "a", 1));
       CHECK(g.step() == 0);
-      for (std::uint64_t id : brief) g.planners[0].gone(id), g.loads["a"] -= 1;
+      for (std::uint64_t id : brief) g.planners[0].connection_ended(id), g.loads["a"] -= 1;
       g.loads["a"] = 30;
     }
     CHECK(g.last == PlannerState::no_gain);
@@ -285,7 +286,8 @@
     Floor f = uneven(s);
     f.run(61);
     for (int i = 0; i < 12; ++i)
-      f.planners[0].stands(f.now, {10000 + static_cast<std::uint64_t>(i), "c", 1, 0, false, false});
+      f.planners[0].connection_established(f.now,
+                                           {10000 + static_cast<std::uint64_t>(i), "c", 1, 0, false, false});
     CHECK(f.run(30) == 0);
     CHECK(f.last == PlannerState::store_limit);
   }
@@ -347,7 +349,7 @@
     if (i < 400) outside[static_cast<std::size_t>(i % 10)].push_back(id);
   }
   REQUIRE(f.run(70) == 0);
-  for (std::size_t i = 0; i < 10; ++i) f.planners[i].outside(outside[i]);
+  for (std::size_t i = 0; i < 10; ++i) f.planners[i].set_out_of_pool(outside[i]);
   f.run(20 * 60);
   CHECK(f.moves.size() == 400);
   CHECK(*f.went.rbegin() <= 400);
@@ -367,9 +369,9 @@
   for (int i = 0; i < 20; ++i) outside.push_back(f.stand(0, "2"));
   for (int i = 0; i < 20; ++i) outside.push_back(f.stand(0, "3"));
   f.run(70);
-  f.planners[0].member({"2", 1, 0, false});
-  for (int i = 40; i < 60; ++i) f.planners[0].gone(outside[static_cast<std::size_t>(i)]);
-  f.planners[0].outside(outside);
+  f.planners[0].update_member({"2", 1, 0, false});
+  for (int i = 40; i < 60; ++i) f.planners[0].connection_ended(outside[static_cast<std::size_t>(i)]);
+  f.planners[0].set_out_of_pool(outside);
   CHECK(f.run(300) == 0);
   CHECK(f.run(1200) == 20);  // the floor of those that had come back is over
   CHECK(*f.went.rbegin() <= 20);
