--- a/src/remote_write/remote_write.cpp
+++ b/src/remote_write/remote_write.cpp
@@ -13,20 +13,21 @@
 
 using net::Time;
 
-constexpr Time kLeastBackoff = 500'000, kMostBackoff = 30'000'000, kWriteTimeout = 5'000'000;
+constexpr Time kMinBackoff = 500'000, kMaxBackoff = 30'000'000, kWriteTimeout = 5'000'000;
 
 void put_varint(std::string& out, std::uint64_t value) {
   for (; value >= 0x80; value >>= 7) out += static_cast<char>(value | 0x80);
   out += static_cast<char>(value);
 }
 
-// A field whose value is a string or a message.
+// Appends a length-delimited field: a string or an embedded message.
 void put_bytes(std::string& out, unsigned number, std::string_view bytes) {
   put_varint(out, number << 3 | 2);
   put_varint(out, bytes.size());
   out += bytes;
 }
 
+// Encodes a prometheus.Label.
 std::string label(std::string_view name, std::string_view value) {
   std::string out;
   put_bytes(out, 1, name);
@@ -34,6 +35,7 @@
   return out;
 }
 
+// Encodes a prometheus.Sample.
 std::string sample(double value, std::int64_t timestamp_ms) {
   std::string out;
   put_varint(out, 1 << 3 | 1);
@@ -70,10 +72,10 @@
   for (const Metric& metric : registry.all()) {
     Labels all = metric.labels;
     all.emplace_back("__name__", metric.name);
-    for (const auto& more : labels)
-      if (std::none_of(all.begin(), all.end(), [&](const auto& l) { return l.first == more.first; }))
-        all.push_back(more);
-    std::sort(all.begin(), all.end());  // the receiver may refuse labels that are not in order
+    for (const auto& extra : labels)
+      if (std::none_of(all.begin(), all.end(), [&](const auto& l) { return l.first == extra.first; }))
+        all.push_back(extra);
+    std::sort(all.begin(), all.end());  // the protocol requires sorted labels
     std::string series;
     for (const auto& [name, value] : all) put_bytes(series, 1, label(name, value));
     put_bytes(series, 2, sample(metric.value, timestamp_ms));
@@ -86,41 +88,41 @@
     : loop_(loop),
       settings_(std::move(settings)),
       registry_(registry),
-      collect_(loop, [this] { collect(); }),
-      retry_(loop, [this] { send(); }),
-      write_timeout_(loop, [this] { again(); }),
-      backoff_(kLeastBackoff),
-      sent_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
-                             {{"result", "taken"}})),
-      retried_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
+      collect_timer_(loop, [this] { collect(); }),
+      retry_timer_(loop, [this] { send(); }),
+      write_timeout_(loop, [this] { retry_later(); }),
+      backoff_(kMinBackoff),
+      accepted_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
+                                 {{"result", "taken"}})),
+      retried_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
                                 {{"result", "retried"}})),
-      refused_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
+      refused_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
                                 {{"result", "refused"}})),
-      overflowed_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
+      overflowed_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
                                    {{"result", "overflowed"}})) {
-  collect_.start(settings_.interval);
+  collect_timer_.start(settings_.interval);
 }
 
 RemoteWrite::~RemoteWrite() { net::Stream::reset(std::move(stream_)); }
 
 void RemoteWrite::collect() {
-  collect_.start(settings_.interval);
+  collect_timer_.start(settings_.interval);
   std::string body, request = write_request(registry_, settings_.labels, loop_.now() / 1000);
   snappy::Compress(request.data(), request.size(), &body);
   if (queue_.size() >= settings_.queue) {
     overflowed_.add();
-    // The one that is out stays first in the queue until its answer is there.
-    queue_.erase(queue_.begin() + (out_ && queue_.size() > 1 ? 1 : 0));
-    if (queue_.empty()) out_ = false;
+    // A request in flight is kept, unless the queue holds no other.
+    queue_.erase(queue_.begin() + (in_flight_ && queue_.size() > 1 ? 1 : 0));
+    if (queue_.empty()) in_flight_ = false;
   }
   queue_.push_back(std::move(body));
-  if (!out_ && !retry_.active()) send();
+  if (!in_flight_ && !retry_timer_.active()) send();
 }
 
 void RemoteWrite::send() {
   if (queue_.empty()) return;
-  out_ = true;
-  complete_ = false;
+  in_flight_ = true;
+  response_complete_ = false;
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   write_timeout_.start(kWriteTimeout);
@@ -139,50 +141,50 @@
 }
 
 void RemoteWrite::received(std::string_view bytes) {
-  if (!out_) return;
-  http_parser_settings calls;
-  http_parser_settings_init(&calls);
-  calls.on_message_complete = [](http_parser* p) {
-    static_cast<RemoteWrite*>(p->data)->complete_ = true;
+  if (!in_flight_) return;
+  http_parser_settings callbacks;
+  http_parser_settings_init(&callbacks);
+  callbacks.on_message_complete = [](http_parser* p) {
+    static_cast<RemoteWrite*>(p->data)->response_complete_ = true;
     return 0;
   };
-  std::size_t used = http_parser_execute(&parser_, &calls, bytes.data(), bytes.size());
-  if (complete_) return complete(parser_.status_code);
-  if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || used != bytes.size()) again();
+  std::size_t parsed = http_parser_execute(&parser_, &callbacks, bytes.data(), bytes.size());
+  if (response_complete_) return response_received(parser_.status_code);
+  if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parsed != bytes.size()) retry_later();
 }
 
 void RemoteWrite::ended(net::Ending) {
-  if (out_) return again();
+  if (in_flight_) return retry_later();
   net::Stream::reset(std::move(stream_));
 }
 
-void RemoteWrite::complete(unsigned status) {
+void RemoteWrite::response_received(unsigned status) {
   if (!http_should_keep_alive(&parser_)) net::Stream::reset(std::move(stream_));
-  if (status / 100 == 5) return again();
+  if (status / 100 == 5) return retry_later();
   if (status / 100 == 2) {
-    sent_.add();
-  } else {  // what the receiver will never take must not hold up what follows
+    accepted_.add();
+  } else {  // a permanent rejection: drop the request so that later ones are sent
     refused_.add();
-    log::warning("remote write refused with {}", status);
+    log::warning("remote write rejected with status {}", status);
   }
-  done();
+  finish_request();
 }
 
-void RemoteWrite::done() {
-  out_ = false;
+void RemoteWrite::finish_request() {
+  in_flight_ = false;
   write_timeout_.stop();
-  backoff_ = kLeastBackoff;
+  backoff_ = kMinBackoff;
   queue_.pop_front();
-  if (!queue_.empty()) retry_.start(0);
+  if (!queue_.empty()) retry_timer_.start(0);
 }
 
-void RemoteWrite::again() {
+void RemoteWrite::retry_later() {
   retried_.add();
-  out_ = false;
+  in_flight_ = false;
   write_timeout_.stop();
   net::Stream::reset(std::move(stream_));
-  retry_.start(backoff_);
-  backoff_ = std::min(2 * backoff_, kMostBackoff);
+  retry_timer_.start(backoff_);
+  backoff_ = std::min(2 * backoff_, kMaxBackoff);
 }
 
 }  // namespace marblehub::metrics
