--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -17,61 +17,61 @@
 
 const std::vector<Application>& applications() {
   static const std::vector<Application> all = {
-      {"scooters", "scooters that report where they are and take lock commands", "telemetry", 500, 3000, 150,
-       4},
-      {"chat", "people in conversations, who notice a second", "chat", 300, 2000, 100, 3},
-      {"metering", "meters that report now and then and can wait", "report", 2000, 10000, 1000, 4},
+      {"scooters", "scooters that report their position and receive lock commands", "telemetry", 500, 3000,
+       150, 4},
+      {"chat", "interactive chat, where a delay of a second is noticed", "chat", 300, 2000, 100, 3},
+      {"metering", "meters that report occasionally and tolerate delay", "report", 2000, 10000, 1000, 4},
   };
   return all;
 }
 
 std::string sample_config(const Application& a) {
   return fmt::format(R"(// marblehub for {}: {}.
-// Start it with BALANCER_CONFIG set to this file's path; check it with: marblehub-config check FILE
+// Set BALANCER_CONFIG to the path of this file. Validate it with: marblehub-config check FILE
 {{
-  "name": "n0",                      // this balancer's name; the same after a restart
-  "listen": "127.0.0.1:7070",        // where clients connect
-  "discovery": "127.0.0.1:8500",     // the registry that lists the workers
-  "seed": "0000000000000001",        // hexadecimal; another one for every balancer
-  "limits": {{"sockets": 4096}},       // file descriptors it may hold
-  "quic": "deploy/quic.json",        // the second front; off unless that file enables it
-  "remote_write": "deploy/remote_write.json",  // metrics; off unless that file enables it
-  "rebalance": "deploy/rebalance.json",  // moves of standing connections towards balance; the same
-  "fleet": "deploy/fleet.json",          // what balancers keep together: view, routes, wallets; the same
-  "log": "deploy/log.json",              // how much the log says
-
-  // The workers as last known. They replace nothing that the registry tells.
+  "name": "n0",                      // unique name of this balancer; keep it across restarts
+  "listen": "127.0.0.1:7070",        // address for clients
+  "discovery": "127.0.0.1:8500",     // address of the registry that lists the workers
+  "seed": "0000000000000001",        // hexadecimal; different on every balancer
+  "limits": {{"sockets": 4096}},       // maximum number of file descriptors
+  "quic": "deploy/quic.json",        // QUIC front; off unless that file enables it
+  "remote_write": "deploy/remote_write.json",  // metrics export; off unless that file enables it
+  "rebalance": "deploy/rebalance.json",  // rebalancing of established connections; off unless enabled there
+  "fleet": "deploy/fleet.json",          // view, routes and wallets of the fleet; off unless enabled there
+  "log": "deploy/log.json",              // log level
+
+  // Workers known before the registry answers. The registry's list takes precedence.
   "known": {{"index": 0, "snapshot": true, "endpoints": []}},
 
   "settings": {{
-    "balancers": 1,                  // how many share the clients
-    "me": 0,                         // this one's number among them, from 0
-    "zone": "a",                     // workers of this zone are preferred
-    "registry_mode": "ask",          // ask: the registry is watched; push: it tells by itself
+    "balancers": 1,                  // number of balancers that share the clients
+    "me": 0,                         // index of this balancer, from 0
+    "zone": "a",                     // zone whose workers are preferred
+    "registry_mode": "ask",          // ask: query the registry; push: the registry sends updates
     "limits": {{
-      "max_attempts": {},             // workers tried for a call, one after another
-      "probes": true,                // whether workers may be probed
-      "retry_after": true,           // whether a refused client is told when to come back
-      "max_retry_after_us": 1500000, // and the longest that it will wait
-      "connect_timeout_us": 250000   // a connect that takes longer has failed
+      "max_attempts": {},             // maximum number of workers tried for a call
+      "probes": true,                // whether workers are probed
+      "retry_after": true,           // whether refused clients are told when to retry
+      "max_retry_after_us": 1500000, // maximum retry delay
+      "connect_timeout_us": 250000   // time until a connect to a worker fails
     }},
     "invariants": {{
-      "stop_sending_within_us": 250000, // nothing new goes to a leaving worker after this
-      "cold_share": 0.13,            // a worker starts at this part of what it can do
-      "warm_within_us": 24000000     // and can do everything after this long
+      "stop_sending_within_us": 250000, // time after which a draining worker gets no new calls
+      "cold_share": 0.13,            // share of its capacity that a worker has when it starts
+      "warm_within_us": 24000000     // time until it has its full capacity
     }},
     "specifics": {{
-      "message_aim_us": [{}]     // a message on a standing connection is wanted within this
+      "message_aim_us": [{}]     // latency target of messages on established connections
     }},
     "request_classes": [
       {{
-        "name": "{}",         // the c= of a client's OPEN line
-        "slo_us": {},            // a call is wanted to be answered within this
-        "give_up_us": {},       // and is given up by its client after this
-        "repeat": "safe",            // safe, keyed or unsafe: what a second attempt may do
-        "dedup_scope": "all",        // keyed only: all, zone or cell
-        "window_us": 5000000,        // keyed only: how long repeats are known
-        "stream": true               // the answer is a connection that stands
+        "name": "{}",         // value of c= in a client's OPEN line
+        "slo_us": {},            // latency target of a call
+        "give_up_us": {},       // time after which the client gives up
+        "repeat": "safe",            // whether a call may be repeated: safe, keyed or unsafe
+        "dedup_scope": "all",        // for keyed: where repeats are recognized: all, zone or cell
+        "window_us": 5000000,        // for keyed: how long repeats are recognized
+        "stream": true               // whether a call opens a long-lived connection
       }}
     ]
   }}
@@ -83,7 +83,7 @@
 
 namespace {
 
-// Whether the second front could tell the workers of the starting file apart.
+// Reports workers of the main file that would share a server id on the QUIC front.
 void check_server_ids(const Startup& startup, const std::string& text, const std::filesystem::path& path,
                       Findings& findings) {
   auto settings = quic::quic_settings_from(flatten(text, ""), path.parent_path());
@@ -91,22 +91,21 @@
     findings.errors.push_back(std::move(line));
 }
 
-// As the program does it, with what the start file says: its name, its classes and the workers it knows.
+// Validates fleet.json as the balancer does, with the name, the classes and the workers of the main file.
 void check_fleet(const Startup& startup, Findings& findings) {
   const std::string& name = startup.fleet_file;
   try {
     if (std::filesystem::exists(name))
       fleet::files_in(options_in(name), startup);
     else
-      findings.warnings.push_back(fmt::format("{}: not found; what it would turn on stays off", name));
+      findings.warnings.push_back(fmt::format("{}: not found; its features stay off", name));
   } catch (const DecodeError& error) {
     findings.errors.emplace_back(error.what());
   }
 }
 
-// Where no start file is at hand: a name that may be this balancer's, of one that has no vote if there is
-// one.
-std::string some_member(const Options& options) {
+// A balancer name to validate fleet.json with when there is no main file: the last of its members, if any.
+std::string placeholder_member(const Options& options) {
   const std::string* members = options.find("members");
   return members && !members->empty() ? members->substr(members->rfind(',') + 1) : "of-start-file";
 }
@@ -119,10 +118,10 @@
                                    {startup.remote_write_file, FileKind::remote_write},
                                    {startup.rebalance_file, FileKind::rebalance},
                                    {startup.log_file, FileKind::log}}) {
-    std::filesystem::path path = std::filesystem::path(folder) / name;  // an absolute name stands for itself
+    std::filesystem::path path = std::filesystem::path(folder) / name;  // an absolute name is used as it is
     auto text = read_file(path);
     if (!text) {
-      findings.warnings.push_back(fmt::format("{}: not found; what it would turn on stays off", name));
+      findings.warnings.push_back(fmt::format("{}: not found; its features stay off", name));
       continue;
     }
     Findings inner = check(*text, kind, path.parent_path());
@@ -138,7 +137,7 @@
 Findings check(std::string_view text, FileKind kind, const std::string& folder) {
   Findings findings;
   try {
-    if (kind == FileKind::routes) {  // decoded from its octets, of which there are only so many
+    if (kind == FileKind::routes) {  // decoded from the raw text, whose size is limited
       fleet::table_of(text, "");
       return findings;
     }
@@ -148,15 +147,15 @@
     if (kind == FileKind::remote_write) metrics::remote_write_settings_from(options);
     if (kind == FileKind::rebalance) rebalance::settings_from(options);
     if (kind == FileKind::log) log::level_from(options);
-    if (kind == FileKind::fleet) fleet::settings_from(options, some_member(options));
+    if (kind == FileKind::fleet) fleet::settings_from(options, placeholder_member(options));
     if (kind == FileKind::wallet) fleet::wallet_settings_from(options);
     for (const auto& [former, current] : options.former_keys())
       findings.warnings.push_back(fmt::format("{}: a former name; use {}", former, current));
     for (const std::string& key : options.unread())
-      findings.warnings.push_back(fmt::format("{}: not a key that is read here", key));
+      findings.warnings.push_back(fmt::format("{}: unknown key", key));
   } catch (const DecodeError& error) {
     std::string_view line = error.what();
-    if (line.starts_with(": ")) line.remove_prefix(2);  // after a table's place, which is the caller's to say
+    if (line.starts_with(": ")) line.remove_prefix(2);  // the caller adds the file name
     findings.errors.emplace_back(line);
   }
   return findings;
--- a/tools/application.h
+++ b/tools/application.h
@@ -1,4 +1,5 @@
-// Starting files for the applications the balancer is used for, and the check of one. For marblehub-config.
+/// Sample configurations for common applications and the validation of configuration files, for
+/// marblehub-config.
 #pragma once
 
 #include <string>
@@ -7,22 +8,27 @@
 
 namespace marblehub::config {
 
+/// An application with typical latency targets, in milliseconds.
 struct Application {
   std::string name, summary, request_class;
   long latency_target_ms, deadline_ms, message_target_ms;
   int attempts;
 };
+/// All applications that a sample configuration exists for.
 const std::vector<Application>& applications();
 
-// A commented file to start from; JSON in which // begins a comment.
+/// A commented configuration file for the application: JSON with // comments.
 std::string sample_config(const Application& application);
 
+/// The result of validating a file.
 struct Findings {
-  std::vector<std::string> errors, warnings;  // plain lines, each with the key it is about
+  std::vector<std::string> errors, warnings;  // one line each, with the key concerned
 };
+/// The configuration files; `start` is the main one, which names the others.
 enum class FileKind { start, quic, remote_write, rebalance, log, fleet, routes, wallet };
-// `folder` is where the files that a file names are looked for; those that fleet.json names are looked for as
-// the program does, from where it runs. What takes the start file to know is checked with that file alone.
+/// Validates a file. Relative file names in it are resolved against `folder`, those in fleet.json against the
+/// current directory, as the balancer does. Checks that need the main file are made only with
+/// FileKind::start.
 Findings check(std::string_view text, FileKind kind, const std::string& folder);
 
 }  // namespace marblehub::config
--- a/tools/marblehub_config.cpp
+++ b/tools/marblehub_config.cpp
@@ -1,4 +1,4 @@
-// marblehub-config: writes a commented starting file for an application, and checks one.
+/// marblehub-config: writes sample configuration files and validates configuration files.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -19,12 +19,12 @@
          "       marblehub-config check [--quic|--remote-write|--rebalance|--log|--fleet|--routes|--wallet] "
          "FILE\n"
          "\n"
-         "list   names the applications that a starting file can be written for.\n"
-         "write  writes one, with comments, to FILE (never over one that exists) or to standard output.\n"
-         "check  reads a starting file and the files that it names, or one of those by itself. What is "
-         "wrong\n"
-         "       is said in one line each, with its key; the exit code is then 1. Keys that nothing reads\n"
-         "       are warned of. Exit code 2: the command line itself is wrong.\n";
+         "list   lists the applications that have a sample configuration.\n"
+         "write  writes a commented sample to FILE, which must not exist, or to standard output.\n"
+         "check  validates a configuration file and the files that it names, or one of those "
+         "alone.\n"
+         "       Prints one line per error, with its key, and exits with 1. Unknown keys are warnings.\n"
+         "       Exit code 2: wrong command line.\n";
   return code;
 }
 
@@ -36,7 +36,7 @@
       return 0;
     }
     if (std::ifstream(args[2])) {
-      std::cerr << "marblehub-config: " << args[2] << " exists; it is left as it is\n";
+      std::cerr << "marblehub-config: " << args[2] << " already exists\n";
       return 1;
     }
     std::ofstream file(args[2]);
@@ -46,7 +46,7 @@
     std::cerr << "marblehub-config: cannot write " << args[2] << '\n';
     return 1;
   }
-  std::cerr << "marblehub-config: no application is named " << args[1] << "; see: marblehub-config list\n";
+  std::cerr << "marblehub-config: unknown application " << args[1] << "; see: marblehub-config list\n";
   return 1;
 }
 
@@ -56,12 +56,12 @@
     std::cerr << "marblehub-config: cannot read " << path << '\n';
     return 1;
   }
-  // A starting file names its files as the program does that runs from the project's root.
+  // File names in the main file are relative to the working directory, as for the balancer itself.
   std::string folder = kind == FileKind::quic ? std::filesystem::path(path).parent_path().string() : ".";
   Findings findings = check(*text, kind, folder);
   for (const std::string& line : findings.warnings) std::cerr << path << ": warning: " << line << '\n';
   for (const std::string& line : findings.errors) std::cerr << path << ": " << line << '\n';
-  if (findings.errors.empty()) std::cout << path << ": in order\n";
+  if (findings.errors.empty()) std::cout << path << ": valid\n";
   return findings.errors.empty() ? 0 : 1;
 }
 
