--- a/tools/marblehub_model.cpp
+++ b/tools/marblehub_model.cpp
@@ -1,4 +1,4 @@
-// marblehub-model: plays scenarios of a fleet on virtual time. docs/model.md tells how to write one.
+/// marblehub-model: simulates scenarios of a fleet on virtual time (docs/model.md).
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -14,161 +14,170 @@
 
 using namespace marblehub::model;
 
-Changes changes_in(const std::vector<std::string>& settings) {
+// Parses KEY=VALUE arguments.
+Changes parse_changes(const std::vector<std::string>& settings) {
   Changes changes;
   for (const std::string& setting : settings) {
     std::size_t at = setting.find('=');
-    if (at == setting.npos) throw std::runtime_error("expected KEY=VALUE, not " + setting);
+    if (at == setting.npos) throw std::runtime_error("expected KEY=VALUE: " + setting);
     changes.emplace_back(setting.substr(0, at), setting.substr(at + 1));
   }
   return changes;
 }
 
-// "name: key=value key=value", or without a name.
-std::pair<std::string, Changes> way_in(const std::string& text) {
+// Parses "NAME: KEY=VALUE KEY=VALUE"; without a name the whole text is the name.
+std::pair<std::string, Changes> parse_way(const std::string& text) {
   std::size_t colon = text.find(": ");
   std::string name = colon == text.npos ? text : text.substr(0, colon);
   std::istringstream words(colon == text.npos ? text : text.substr(colon + 2));
   std::vector<std::string> settings;
   for (std::string word; words >> word;) settings.push_back(word);
-  return {name, changes_in(settings)};
+  return {name, parse_changes(settings)};
 }
 
-struct Asked {
+// The command line.
+struct Arguments {
   std::vector<std::string> files, settings, ways, values;
   std::string parameter, out;
   std::uint64_t seed = 1;
   std::size_t seeds = 10;
   int threads = static_cast<int>(std::max(1u, std::thread::hardware_concurrency()));
 
-  Scenario scenario(const std::string& file, Changes more = {}) const {
-    Changes all = changes_in(settings);
-    all.insert(all.end(), more.begin(), more.end());
+  // The scenario of a file with the changes of --set and `extra` applied.
+  Scenario scenario(const std::string& file, Changes extra = {}) const {
+    Changes all = parse_changes(settings);
+    all.insert(all.end(), extra.begin(), extra.end());
     return scenario_in(file, all);
   }
 };
 
-int run_one(const Asked& asked, bool log) {
+// Runs one seed, with progress on a terminal. Returns the exit code, as all commands below.
+int run_one(const Arguments& args, bool log) {
   RunOptions options;
-  options.seed = asked.seed;
-  options.threads = asked.threads;
+  options.seed = args.seed;
+  options.threads = args.threads;
   options.log = log;
-  bool shown = isatty(STDERR_FILENO) != 0;
-  if (shown) options.progress = [](Time at) { std::cerr << "\r" << at / kSecond << " s " << std::flush; };
-  Result result = run(asked.scenario(asked.files.front()), options);
-  if (shown) std::cerr << "\r          \r";
+  bool show_progress = isatty(STDERR_FILENO) != 0;
+  if (show_progress)
+    options.progress = [](Time at) { std::cerr << "\r" << at / kSecond << " s " << std::flush; };
+  Result result = run(args.scenario(args.files.front()), options);
+  if (show_progress) std::cerr << "\r          \r";
   std::cout << result.log << result.text();
   return result.good() ? 0 : 1;
 }
 
-std::vector<Way> play(const Asked& asked, const std::vector<std::pair<std::string, Scenario>>& ways) {
+// Runs every seed of every way in parallel.
+std::vector<Way> run_ways(const Arguments& args, const std::vector<std::pair<std::string, Scenario>>& ways) {
   std::vector<Job> jobs;
   for (const auto& [name, scenario] : ways)
-    for (std::size_t i = 0; i < asked.seeds; ++i) jobs.push_back({scenario, asked.seed + i});
-  std::vector<Result> results = run_all(jobs, asked.threads, [](std::size_t done, std::size_t all) {
+    for (std::size_t i = 0; i < args.seeds; ++i) jobs.push_back({scenario, args.seed + i});
+  std::vector<Result> results = run_all(jobs, args.threads, [](std::size_t done, std::size_t all) {
     if (isatty(STDERR_FILENO) || done == all || done % 100 == 0)
       std::cerr << (isatty(STDERR_FILENO) ? "\r" : "") << done << " of " << all << " runs"
                 << (isatty(STDERR_FILENO) && done < all ? "" : "\n") << std::flush;
   });
-  std::vector<Way> played;
+  std::vector<Way> completed;
   for (std::size_t w = 0; w < ways.size(); ++w) {
     Way way{ways[w].first, {}};
-    for (std::size_t i = 0; i < asked.seeds; ++i)
-      way.results.push_back(std::move(results[w * asked.seeds + i]));
-    played.push_back(std::move(way));
+    for (std::size_t i = 0; i < args.seeds; ++i)
+      way.results.push_back(std::move(results[w * args.seeds + i]));
+    completed.push_back(std::move(way));
   }
-  return played;
+  return completed;
 }
 
-// What was not as expected, a line each; whether there was none.
-bool all_good(const std::vector<Way>& ways) {
-  bool good = true;
+// Prints a line for each run that broke an expectation. Returns whether there was none.
+bool print_failures(const std::vector<Way>& ways) {
+  bool all_good = true;
   for (const Way& way : ways)
     for (const Result& r : way.results) {
       if (r.good()) continue;
-      good = false;
+      all_good = false;
       std::string first = r.text();
       std::cout << way.name << ": " << first.substr(0, first.find("  calls")) << "\n";
     }
-  return good;
+  return all_good;
 }
 
-std::vector<std::pair<std::string, Scenario>> ways_of(const Asked& asked) {
+// The ways to compare: variants of one file if --way is given, else one per file.
+std::vector<std::pair<std::string, Scenario>> ways_from(const Arguments& args) {
   std::vector<std::pair<std::string, Scenario>> ways;
-  if (asked.ways.empty()) {
-    for (const std::string& file : asked.files) ways.emplace_back(file, asked.scenario(file));
+  if (args.ways.empty()) {
+    for (const std::string& file : args.files) ways.emplace_back(file, args.scenario(file));
   } else {
-    for (const std::string& text : asked.ways) {
-      auto [name, changes] = way_in(text);
-      ways.emplace_back(name, asked.scenario(asked.files.front(), changes));
+    for (const std::string& text : args.ways) {
+      auto [name, changes] = parse_way(text);
+      ways.emplace_back(name, args.scenario(args.files.front(), changes));
     }
   }
   return ways;
 }
 
-int sweep(const Asked& asked) {
+int sweep(const Arguments& args) {
   std::vector<std::pair<std::string, Scenario>> ways;
-  for (const std::string& value : asked.values)
-    ways.emplace_back(value, asked.scenario(asked.files.front(), {{asked.parameter, value}}));
-  if (ways.empty()) ways.emplace_back("as it stands", asked.scenario(asked.files.front()));
-  std::vector<Way> played = play(asked, ways);
-  std::cout << asked.parameter << "\n" << table(played, kFigures);
-  return all_good(played) ? 0 : 1;
+  for (const std::string& value : args.values)
+    ways.emplace_back(value, args.scenario(args.files.front(), {{args.parameter, value}}));
+  if (ways.empty()) ways.emplace_back("unchanged", args.scenario(args.files.front()));
+  std::vector<Way> completed = run_ways(args, ways);
+  std::cout << args.parameter << "\n" << table(completed, kFigures);
+  return print_failures(completed) ? 0 : 1;
 }
 
-int compare(const Asked& asked) {
-  std::vector<Way> played = play(asked, ways_of(asked));
-  std::cout << asked.seeds
-            << " seeds, paired; a difference is shown where its 95% interval leaves out nought\n"
-            << table(played, kFigures);
+int compare(const Arguments& args) {
+  std::vector<Way> completed = run_ways(args, ways_from(args));
+  std::cout << args.seeds << " paired seeds; differences are shown if their 95% interval excludes zero\n"
+            << table(completed, kFigures);
   return 0;
 }
 
-int report(const Asked& asked) {
-  std::vector<Way> played = play(asked, ways_of(asked));
-  std::ofstream file(asked.out);
-  file << page(played.front().results.front().scenario, played, kFigures);
+int report(const Arguments& args) {
+  std::vector<Way> completed = run_ways(args, ways_from(args));
+  std::ofstream file(args.out);
+  file << page(completed.front().results.front().scenario, completed, kFigures);
   file.close();
-  if (!file) throw std::runtime_error("cannot write " + asked.out);
+  if (!file) throw std::runtime_error("cannot write " + args.out);
   return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Plays scenarios of a fleet of balancers and workers on virtual time; see docs/model.md."};
+  CLI::App app{"Simulates scenarios of a fleet of balancers and workers on virtual time; see docs/model.md."};
   app.require_subcommand(1);
-  Asked asked;
-  auto command = [&](const char* name, const char* help, bool many) {
+  Arguments args;
+  auto add_command = [&](const char* name, const char* help, bool several_files) {
     CLI::App* sub = app.add_subcommand(name, help);
-    sub->add_option("scenario", asked.files, "files as docs/model.md describes")
+    sub->add_option("scenario", args.files, "scenario files (docs/model.md)")
         ->required()
         ->check(CLI::ExistingFile)
-        ->expected(1, many ? 8 : 1);
-    sub->add_option("--set", asked.settings, "KEY=VALUE in place of what the file says")->take_all();
-    sub->add_option("--seed", asked.seed, "the first, where there are many; the same gives the same bytes");
-    sub->add_option("--threads", asked.threads, "at once")->check(CLI::Range(1, 256));
+        ->expected(1, several_files ? 8 : 1);
+    sub->add_option("--set", args.settings, "KEY=VALUE overrides the scenario file")->take_all();
+    sub->add_option("--seed", args.seed, "first seed; equal seeds give identical output");
+    sub->add_option("--threads", args.threads, "number of threads")->check(CLI::Range(1, 256));
     return sub;
   };
-  auto* once = command("run", "plays one seed; the exit code is 1 when it is not as expected", false);
-  auto* replay = command("replay", "the same, with a line for each event of a client", false);
-  auto* swept = command("sweep", "a parameter over values, many seeds of each", false);
-  swept->add_option("--over", asked.parameter, "the key");
-  swept->add_option("--values", asked.values, "its values")->delimiter(',');
-  auto* compared = command("compare", "files, or ways of one, paired by seed", true);
-  auto* reported = command("report", "the same as one page of HTML with plots", true);
-  for (CLI::App* sub : {swept, compared, reported}) sub->add_option("--seeds", asked.seeds, "how many");
-  for (CLI::App* sub : {compared, reported})
-    sub->add_option("--way", asked.ways, "\"NAME: KEY=VALUE ...\", more than once")->take_all();
-  reported->add_option("--out", asked.out, "the page")->required();
+  auto* run_command =
+      add_command("run", "run one seed; exits with 1 if an expectation of the scenario fails", false);
+  auto* replay_command = add_command("replay", "like run, with a line for each client event", false);
+  auto* sweep_command = add_command("sweep", "vary a parameter, with several seeds per value", false);
+  sweep_command->add_option("--over", args.parameter, "key of the parameter");
+  sweep_command->add_option("--values", args.values, "values, separated by commas")->delimiter(',');
+  auto* compare_command =
+      add_command("compare", "compare scenario files, or variants of one, paired by seed", true);
+  auto* report_command = add_command("report", "like compare, as an HTML page with plots", true);
+  for (CLI::App* sub : {sweep_command, compare_command, report_command})
+    sub->add_option("--seeds", args.seeds, "number of seeds");
+  for (CLI::App* sub : {compare_command, report_command})
+    sub->add_option("--way", args.ways, "\"NAME: KEY=VALUE ...\", repeatable")->take_all();
+  report_command->add_option("--out", args.out, "output file")->required();
   CLI11_PARSE(app, argc, argv);
   marblehub::log::threshold = marblehub::log::Level::error;
   try {
-    if (once->parsed()) return run_one(asked, false);
-    if (replay->parsed()) return run_one(asked, true);
-    if (swept->parsed()) return sweep(asked);
-    if (compared->parsed()) return compare(asked);
-    return report(asked);
+    if (run_command->parsed()) return run_one(args, false);
+    if (replay_command->parsed()) return run_one(args, true);
+    if (sweep_command->parsed()) return sweep(args);
+    if (compare_command->parsed()) return compare(args);
+    return report(args);
   } catch (const std::exception& error) {
     std::cerr << "marblehub-model: " << error.what() << '\n';
     return 2;
