--- a/tools/fleet_table.py
+++ b/tools/fleet_table.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""What a whole fleet of balancers did over time, counted from their logs.
+"""Summarizes the activity of a fleet of balancers over time from their logs.
 
 usage: tools/fleet_table.py [--step SECONDS] [--workers] LOG...
 
-Each LOG is the log of one balancer at level debug (deploy/log.json), every line after the time in seconds at which
-it was written, as a log keeper puts it there: "12.345 debug probe to w7". A folder stands for the .log files in it.
-The first table has a row for each thing counted and a column for each step; with --workers there follow, for each
-worker, the calls sent to it, the connections that stand at the step's end, the mean load it reported and its probes.
+Each LOG is the log of one balancer at level debug (deploy/log.json), each line prefixed with its time in seconds, as
+log collectors do: "12.345 debug probe to w7". For a folder, all .log files in it are read.
+The first table has a row for each counted event and a column for each step. With --workers, a table for each worker
+follows: calls sent to it, connections established at the end of the step, mean reported load, and probes.
 """
 import argparse
 import collections
@@ -14,12 +14,12 @@
 import os
 import re
 
-RULES = [  # a pattern of a line, what is counted, the group that names the worker
+RULES = [  # pattern of a log line, name of the counter, group that holds the worker's name
     (r"\S+ listens on ", "starts", None),
     (r"registry call from", "registry calls", None),
     (r"registry call failed", "registry failures", None),
     (r"registry answer with (\d+) lines", "registry answers", None),
-    (r"registry: \S+ drains", "drains heard of", None),
+    (r"registry: \S+ drains", "drains reported", None),
     (r"probe to (\S+)", "probes", 1),
     (r"probe of (\S+): (\w+) after", "probe: {2}", None),
     (r"call \d+ sent to (\S+)", "sent", 1),
@@ -31,38 +31,40 @@
 RULES = [(re.compile(pattern), name, worker) for pattern, name, worker in RULES]
 LINE = re.compile(r"([\d.]+) \w+ (.*)")
 LOAD = re.compile(r"probe of (\S+): served after \d+ ms, load (-?[\d.]+)")
-STANDS = re.compile(r"call (\d+) up at (\S+)")
-LEAVES = re.compile(r"call (\d+) (?:at (\S+):|moves off (\S+))")
+ESTABLISHED = re.compile(r"call (\d+) up at (\S+)")
+ENDED = re.compile(r"call (\d+) (?:at (\S+):|moves off (\S+))")
 LINES = re.compile(r"registry answer with (\d+) lines")
 
 
-def files(paths):
+def log_files(paths):
     for path in paths:
         yield from sorted(glob.glob(os.path.join(path, "*.log"))) if os.path.isdir(path) else [path]
 
 
 class Table:
+    """Counts events per step of `step` seconds."""
+
     def __init__(self, step):
         self.step = step
         self.steps = 0
-        self.counts = collections.defaultdict(collections.Counter)  # of what, by step
+        self.counts = collections.defaultdict(collections.Counter)  # by counter and step
         self.by_worker = collections.defaultdict(lambda: collections.defaultdict(collections.Counter))
         self.loads = collections.defaultdict(lambda: collections.defaultdict(list))
-        self.changes = collections.defaultdict(collections.Counter)  # of the standing, by worker and step
+        self.changes = collections.defaultdict(collections.Counter)  # of established connections, by worker and step
 
     def read(self, path):
-        standing = {}
+        established = {}
         with open(path, errors="replace") as log:
             for line in log:
                 if found := LINE.match(line):
-                    self.note(int(float(found[1]) / self.step), found[2], standing)
+                    self.count_line(int(float(found[1]) / self.step), found[2], established)
 
-    def note(self, at, text, standing):
+    def count_line(self, at, text, established):
         self.steps = max(self.steps, at + 1)
-        if " listens on " in text:  # it has started anew: what stood there went with it
-            for worker in standing.values():
+        if " listens on " in text:  # restarted: its connections are gone
+            for worker in established.values():
                 self.changes[worker][at] -= 1
-            standing.clear()
+            established.clear()
         for pattern, name, worker in RULES:
             if not (found := pattern.match(text)):
                 continue
@@ -74,30 +76,30 @@
             self.counts["registry lines"][at] += int(found[1])
         if (found := LOAD.match(text)) and float(found[2]) >= 0:
             self.loads[found[1]][at].append(float(found[2]))
-        if found := STANDS.match(text):
-            standing[found[1]] = found[2]
+        if found := ESTABLISHED.match(text):
+            established[found[1]] = found[2]
             self.changes[found[2]][at] += 1
-        elif (found := LEAVES.match(text)) and found[1] in standing:
-            self.changes[standing.pop(found[1])][at] -= 1
+        elif (found := ENDED.match(text)) and found[1] in established:
+            self.changes[established.pop(found[1])][at] -= 1
 
-    def row(self, name, cells):
+    def print_row(self, name, cells):
         print(f"{name:24}" + "".join(f"{cell:>7}" for cell in cells))
 
-    def show(self, workers):
+    def print_tables(self, workers):
         steps = range(self.steps)
-        self.row("from s", [f"{at * self.step:g}" for at in steps])
+        self.print_row("from s", [f"{at * self.step:g}" for at in steps])
         for name in sorted(self.counts):
-            self.row(name, [self.counts[name][at] for at in steps])
+            self.print_row(name, [self.counts[name][at] for at in steps])
         if not workers:
             return
         for worker in sorted(set(self.by_worker) | set(self.changes)):
             total = 0
-            stands = [total := total + self.changes[worker][at] for at in steps]
+            connections = [total := total + self.changes[worker][at] for at in steps]
             loads = self.loads[worker]
-            self.row(worker + " sent", [self.by_worker[worker]["sent"][at] for at in steps])
-            self.row("  stand", stands)
-            self.row("  load", [f"{sum(loads[at]) / len(loads[at]):.2f}" if loads[at] else "-" for at in steps])
-            self.row("  probes", [self.by_worker[worker]["probes"][at] for at in steps])
+            self.print_row(worker + " sent", [self.by_worker[worker]["sent"][at] for at in steps])
+            self.print_row("  connections", connections)
+            self.print_row("  load", [f"{sum(loads[at]) / len(loads[at]):.2f}" if loads[at] else "-" for at in steps])
+            self.print_row("  probes", [self.by_worker[worker]["probes"][at] for at in steps])
 
 
 def main():
@@ -107,9 +109,9 @@
     parser.add_argument("logs", nargs="+")
     args = parser.parse_args()
     table = Table(args.step)
-    for path in files(args.logs):
+    for path in log_files(args.logs):
         table.read(path)
-    table.show(args.workers)
+    table.print_tables(args.workers)
 
 
 if __name__ == "__main__":
