--- a/tests/product_test.cpp
+++ b/tests/product_test.cpp
@@ -1,4 +1,4 @@
-// The product round the serving: remote write against a stand-in receiver, the alert rules, the tool.
+// Remote write against a stub receiver, the alert rules, marblehub-config, and enabling rebalancing.
 #include <fmt/format.h>
 #include <snappy.h>
 #include <sys/stat.h>
@@ -15,14 +15,14 @@
 namespace marblehub::test {
 namespace {
 
-std::string read(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-std::string shell(const std::string& command, int* code) {
+std::string run_shell(const std::string& command, int* code) {
   FILE* pipe = popen((command + " 2>&1").c_str(), "r");
   std::string out;
   char buffer[512];
@@ -31,33 +31,34 @@
   return out;
 }
 
-// A receiver that answers every request with the next status of a list, the last one over and over.
+// A remote write receiver that answers each request with the next status of a list and repeats the last one.
 struct Receiver {
   Receiver() : fd(bound(SOCK_STREAM | SOCK_NONBLOCK)) { ::listen(fd, 8); }
   ~Receiver() {
     ::close(fd);
     if (conn >= 0) ::close(conn);
   }
-  void serve(int ms, std::size_t enough) {
-    for (std::int64_t end = now_ms() + ms; now_ms() < end && bodies.size() < enough; usleep(1000)) {
-      int fresh = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK);
-      if (fresh >= 0) {
+  // Serves for `ms` milliseconds or until it has received `max_requests` in all.
+  void serve(int ms, std::size_t max_requests) {
+    for (std::int64_t end = now_ms() + ms; now_ms() < end && bodies.size() < max_requests; usleep(1000)) {
+      int accepted = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK);
+      if (accepted >= 0) {
         if (conn >= 0) ::close(conn);
-        conn = fresh;
-        in.clear();
+        conn = accepted;
+        received.clear();
       }
       char buffer[65536];
       ssize_t n = conn >= 0 ? ::recv(conn, buffer, sizeof buffer, 0) : -1;
-      if (n > 0) in.append(buffer, static_cast<std::size_t>(n));
-      std::size_t body = in.find("\r\n\r\n");
-      std::size_t length_at = in.find("Content-Length: ");
-      if (body == std::string::npos || length_at == std::string::npos) continue;
-      auto length = static_cast<std::size_t>(std::stoi(in.substr(length_at + 16)));
-      if (in.size() < body + 4 + length) continue;
-      head = in.substr(0, body);
-      bodies.push_back(in.substr(body + 4, length));
+      if (n > 0) received.append(buffer, static_cast<std::size_t>(n));
+      std::size_t header_end = received.find("\r\n\r\n");
+      std::size_t length_at = received.find("Content-Length: ");
+      if (header_end == std::string::npos || length_at == std::string::npos) continue;
+      auto length = static_cast<std::size_t>(std::stoi(received.substr(length_at + 16)));
+      if (received.size() < header_end + 4 + length) continue;
+      head = received.substr(0, header_end);
+      bodies.push_back(received.substr(header_end + 4, length));
       times.push_back(now_ms());
-      in.clear();
+      received.clear();
       int status = statuses.size() > 1 ? statuses.front() : statuses.back();
       if (statuses.size() > 1) statuses.erase(statuses.begin());
       std::string answer = "HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: 0\r\n\r\n";
@@ -66,13 +67,15 @@
   }
   int fd, conn = -1;
   std::vector<int> statuses = {204};
-  std::string in, head;
+  std::string received, head;
   std::vector<std::string> bodies;
   std::vector<std::int64_t> times;
 };
 
-struct Writing {
-  explicit Writing(int interval_ms, std::size_t queue = 40) : registry_port(free_port(SOCK_STREAM)) {
+// A balancer that writes its metrics to a receiver and serves QUIC.
+struct RemoteWriteFixture {
+  explicit RemoteWriteFixture(int interval_ms, std::size_t queue = 40)
+      : registry_port(free_port(SOCK_STREAM)) {
     char path[] = "/tmp/marblehub-write-XXXXXX";
     ::close(mkstemp(path));
     file = path;
@@ -93,7 +96,7 @@
         {"ids", json::array({{{"rotation", 0}, {"server_id_length", 4}, {"nonce_length", 6}, {"key", ""}}})}};
     program = std::make_unique<Program>(json::array(), settings(), registry_port, quic, file);
   }
-  ~Writing() {
+  ~RemoteWriteFixture() {
     std::remove(file.c_str());
     std::remove(quic.c_str());
   }
@@ -105,21 +108,21 @@
 
 }  // namespace
 
-TEST_CASE("remote write sends every metric as version 1.0 asks") {
-  Writing w(200);
+TEST_CASE("remote write sends requests as version 1.0 requires") {
+  RemoteWriteFixture w(200);
   w.receiver.serve(3000, 2);
   REQUIRE(w.receiver.bodies.size() == 2);
   for (const char* line :
        {"POST /api/v1/write HTTP/1.1", "Content-Encoding: snappy", "Content-Type: application/x-protobuf",
         "X-Prometheus-Remote-Write-Version: 0.1.0"})
     CHECK(w.receiver.head.find(line) != std::string::npos);
-  std::string plain;
-  REQUIRE(snappy::Uncompress(w.receiver.bodies[0].data(), w.receiver.bodies[0].size(), &plain));
-  CHECK(plain.find("\x08__name__\x12\x15marblehub_calls_total") != std::string::npos);
-  CHECK(plain.find("\x03job\x12\x04test") != std::string::npos);
+  std::string uncompressed;
+  REQUIRE(snappy::Uncompress(w.receiver.bodies[0].data(), w.receiver.bodies[0].size(), &uncompressed));
+  CHECK(uncompressed.find("\x08__name__\x12\x15marblehub_calls_total") != std::string::npos);
+  CHECK(uncompressed.find("\x03job\x12\x04test") != std::string::npos);
 }
 
-TEST_CASE("the protobuf of one sample, octet by octet") {
+TEST_CASE("the protobuf of one sample, byte by byte") {
   metrics::Registry registry;
   registry.counter("up", "help", {{"zone", "a"}}).add(1);
   std::string expected = std::string("\x0a\x2f") + std::string("\x0a\x0e\x0a\x08__name__\x12\x02up", 16) +
@@ -128,19 +131,19 @@
                              "a",
                              11) +
                          std::string("\x12\x10\x09\0\0\0\0\0\0\xf0\x3f\x10\x80\x89\xfa\xe6\xf6\x31", 18);
-  std::string got = metrics::write_request(registry, {}, 1715000000000 + 640);
-  INFO(json(got.size()));
-  CHECK(got.substr(2, 27) == expected.substr(2, 27));
-  CHECK(got.substr(29, 11) == expected.substr(29, 11));
-  CHECK(static_cast<std::size_t>(got[1]) == got.size() - 2);
+  std::string actual = metrics::write_request(registry, {}, 1715000000000 + 640);
+  INFO(json(actual.size()));
+  CHECK(actual.substr(2, 27) == expected.substr(2, 27));
+  CHECK(actual.substr(29, 11) == expected.substr(29, 11));
+  CHECK(static_cast<std::size_t>(actual[1]) == actual.size() - 2);
 }
 
-TEST_CASE("remote write comes again after 5xx with the same samples, and drops on 4xx") {
-  Writing w(100);
+TEST_CASE("remote write retries the same samples after 5xx and drops them after 4xx") {
+  RemoteWriteFixture w(100);
   w.receiver.statuses = {503, 400, 204};
   w.receiver.serve(4000, 3);
   REQUIRE(w.receiver.bodies.size() == 3);
-  CHECK(w.receiver.bodies[0] == w.receiver.bodies[1]);  // again after 503
+  CHECK(w.receiver.bodies[0] == w.receiver.bodies[1]);  // retried after 503
   CHECK(w.receiver.times[1] - w.receiver.times[0] >= 400);
   CHECK(w.receiver.bodies[2] != w.receiver.bodies[1]);  // 400: dropped
   w.receiver.serve(200, 99);
@@ -150,8 +153,8 @@
   CHECK(w.program->counter("marblehub_remote_writes_total{result=\"retried\"}") == 1);
 }
 
-TEST_CASE("a receiver that is away costs bounded memory and no serving") {
-  Writing w(100, 3);
+TEST_CASE("an unreachable receiver uses bounded memory and does not block the balancer") {
+  RemoteWriteFixture w(100, 3);
   ::close(w.receiver.fd);
   w.receiver.fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
   usleep(900000);
@@ -165,21 +168,21 @@
   CHECK(w.program->counter("marblehub_remote_writes_total{result=\"overflowed\"}") >= 3);
 }
 
-TEST_CASE("every metric that an alert rule names is exported") {
-  Writing w(10000);
+TEST_CASE("every metric named by an alert rule is exported") {
+  RemoteWriteFixture w(10000);
   const std::string key = w.file + ".key", fleet = w.file + ".fleet";
   std::ofstream(key) << std::string(64, 'a');
   ::chmod(key.c_str(), 0600);
   std::ofstream(fleet) << json{
       {"enabled", true}, {"fleet", "f"}, {"listen", text_of(free_port(SOCK_STREAM))}, {"key_file", key}};
-  w.program.reset();  // its ports are the next one's
+  w.program.reset();  // frees its ports for the next one
   w.program = std::make_unique<Program>(json::array(), settings(), w.registry_port, w.quic, w.file, 1024,
                                         "/nonexistent", 1, fleet);
   w.program->signal(SIGUSR1);
   usleep(200000);
   std::remove(key.c_str());
   std::remove(fleet.c_str());
-  std::string rules = read(MARBLEHUB_SOURCE "/deploy/alerts.yml"), exported = w.program->log();
+  std::string rules = read_file(MARBLEHUB_SOURCE "/deploy/alerts.yml"), exported = w.program->log();
   std::regex name("marblehub_[a-z_]+");
   std::set<std::string> names;
   for (std::sregex_iterator it(rules.begin(), rules.end(), name), end; it != end; ++it)
@@ -189,127 +192,127 @@
     INFO(n);
     CHECK(exported.find("\n# TYPE " + n + " ") != std::string::npos);
   }
-  // And every value of a label that a rule asks for.
-  std::regex choice(R"re((marblehub_[a-z_]+)\{([a-z]+)=~?"([a-z_|]+)"\})re"), value("[a-z_]+");
+  // Every label value that a rule matches must be exported too.
+  std::regex label_match(R"re((marblehub_[a-z_]+)\{([a-z]+)=~?"([a-z_|]+)"\})re"), value("[a-z_]+");
   int values = 0;
-  for (std::sregex_iterator it(rules.begin(), rules.end(), choice), end; it != end; ++it) {
+  for (std::sregex_iterator it(rules.begin(), rules.end(), label_match), end; it != end; ++it) {
     const std::string all = (*it)[3];
     for (std::sregex_iterator v(all.begin(), all.end(), value); v != end; ++v, ++values) {
-      const std::string labelled =
-          fmt::format("\n{}{{{}=\"{}\"}} ", (*it)[1].str(), (*it)[2].str(), v->str());
-      INFO(labelled);
-      CHECK(exported.find(labelled) != std::string::npos);
+      const std::string series = fmt::format("\n{}{{{}=\"{}\"}} ", (*it)[1].str(), (*it)[2].str(), v->str());
+      INFO(series);
+      CHECK(exported.find(series) != std::string::npos);
     }
   }
   CHECK(values >= 10);
 }
 
-TEST_CASE("the tool writes files that are in order, and names the key that is not") {
+TEST_CASE("marblehub-config writes valid files and reports the key of an invalid setting") {
   std::string tool = MARBLEHUB_CONFIG, file = "/tmp/marblehub-tool-" + std::to_string(getpid()) + ".json";
   int code = 0;
-  CHECK(shell(tool + " --help", &code).find("usage:") == 0);
+  CHECK(run_shell(tool + " --help", &code).find("usage:") == 0);
   CHECK(code == 0);
-  shell(tool, &code);
+  run_shell(tool, &code);
   CHECK(code == 2);
   for (const auto& application : config::applications()) {
     std::remove(file.c_str());
-    shell(tool + " write " + application.name + " " + file, &code);
+    run_shell(tool + " write " + application.name + " " + file, &code);
     REQUIRE(code == 0);
-    CHECK(read(file).find("// ") != std::string::npos);
-    INFO(shell(tool + " check " + file, &code));
+    CHECK(read_file(file).find("// ") != std::string::npos);
+    INFO(run_shell(tool + " check " + file, &code));
     CHECK(code == 0);
   }
-  shell(tool + " write scooters " + file, &code);  // never over one that exists
+  run_shell(tool + " write scooters " + file, &code);  // does not overwrite
   CHECK(code == 1);
-  std::string good = read(file);
-  auto spoiled = [&](const std::string& from, const std::string& to) {
-    std::string text = good;
+  std::string valid = read_file(file);
+  auto check_with = [&](const std::string& from, const std::string& to) {
+    std::string text = valid;
     REQUIRE(text.find(from) != std::string::npos);
     std::ofstream(file) << text.replace(text.find(from), from.size(), to);
-    return shell(tool + " check " + file, &code);
+    return run_shell(tool + " check " + file, &code);
   };
-  CHECK(
-      spoiled("\"max_attempts\": 4", "\"max_attempts\": 0").find("limits.max_attempts: expected a number") !=
-      std::string::npos);
+  CHECK(check_with("\"max_attempts\": 4", "\"max_attempts\": 0")
+            .find("limits.max_attempts: expected a number") != std::string::npos);
   CHECK(code == 1);
-  CHECK(spoiled("\"repeat\": \"safe\"", "\"repeat\": \"sure\"").find("repeat: expected one of safe, keyed") !=
-        std::string::npos);
+  CHECK(check_with("\"repeat\": \"safe\"", "\"repeat\": \"sure\"")
+            .find("repeat: expected one of safe, keyed") != std::string::npos);
   CHECK(code == 1);
-  CHECK(spoiled("127.0.0.1:7070", "localhost").find("listen: expected a.b.c.d:port") != std::string::npos);
+  CHECK(check_with("127.0.0.1:7070", "localhost").find("listen: expected a.b.c.d:port") != std::string::npos);
   CHECK(code == 1);
-  CHECK(spoiled("\"known\": {", "\"known\": [").find("expected a JSON object") != std::string::npos);
+  CHECK(check_with("\"known\": {", "\"known\": [").find("expected a JSON object") != std::string::npos);
   CHECK(code == 1);
-  CHECK(spoiled("\"zone\": \"a\",", "\"zone\": \"a\", \"zome\": 1,").find("warning: settings.zome") !=
+  CHECK(check_with("\"zone\": \"a\",", "\"zone\": \"a\", \"zome\": 1,").find("warning: settings.zome") !=
         std::string::npos);
   CHECK(code == 0);
-  CHECK(spoiled("\"me\": 0", "\"me\": 1").find("settings.me: expected a number below settings.balancers") !=
-        std::string::npos);
+  CHECK(
+      check_with("\"me\": 0", "\"me\": 1").find("settings.me: expected a number below settings.balancers") !=
+      std::string::npos);
   CHECK(code == 1);
-  CHECK(spoiled("\"balancers\": 1", "\"balancers\": 0").find("balancers: expected a number, 1 or more") !=
+  CHECK(check_with("\"balancers\": 1", "\"balancers\": 0").find("balancers: expected a number, 1 or more") !=
         std::string::npos);
   CHECK(code == 1);
-  for (const char* own :
+  for (const char* arguments :
        {"--log " MARBLEHUB_SOURCE "/deploy/log.json", "--quic " MARBLEHUB_SOURCE "/deploy/quic.json",
         "--remote-write " MARBLEHUB_SOURCE "/deploy/remote_write.json",
         "--rebalance " MARBLEHUB_SOURCE "/deploy/rebalance.json",
         "--fleet " MARBLEHUB_SOURCE "/deploy/fleet.json", "--routes " MARBLEHUB_SOURCE "/deploy/routes.json",
         "--wallet " MARBLEHUB_SOURCE "/deploy/wallet.json"}) {
-    INFO(shell(tool + " check " + own, &code));
+    INFO(run_shell(tool + " check " + arguments, &code));
     CHECK(code == 0);
   }
   std::ofstream(file) << R"({"enabled": true, "gap": 3})";
-  CHECK(shell(tool + " check --rebalance " + file, &code).find("gap: expected a share") != std::string::npos);
+  CHECK(run_shell(tool + " check --rebalance " + file, &code).find("gap: expected a share") !=
+        std::string::npos);
   CHECK(code == 1);
   std::ofstream(file) << R"({"patience_s": 60})";
-  CHECK(shell(tool + " check --rebalance " + file, &code)
+  CHECK(run_shell(tool + " check --rebalance " + file, &code)
             .find("warning: patience_s: a former name; use progress_timeout_s") != std::string::npos);
   CHECK(code == 0);
   std::ofstream(file) << R"({"patience_s": 60, "progress_timeout_s": 60})";
-  CHECK(shell(tool + " check --rebalance " + file, &code)
+  CHECK(run_shell(tool + " check --rebalance " + file, &code)
             .find("patience_s: expected only progress_timeout_s") != std::string::npos);
   CHECK(code == 1);
   std::remove(file.c_str());
 }
 
-TEST_CASE("moves for balance are off unless their file turns them on, and an operator pauses them") {
+TEST_CASE("rebalancing is off unless its file enables it, and operators can pause it") {
   std::string file = "/tmp/marblehub-moves-" + std::to_string(getpid()) + ".json", pause = file + ".pause";
   auto started = [&](const std::string& text) {
     std::ofstream(file) << text;
     return std::make_unique<Program>(json::array(), settings(), free_port(SOCK_STREAM), "/nonexistent",
                                      "/nonexistent", 1024, file);
   };
-  auto counted = [](Program& program, const std::string& name) {
+  auto metric_value = [](Program& program, const std::string& name) {
     program.signal(SIGUSR1);
     usleep(100000);
     return program.counter(name);
   };
-  auto off = started(R"({"enabled": false})");
-  off->signal(SIGUSR2);  // nothing to pause, and no harm
+  auto disabled = started(R"({"enabled": false})");
+  disabled->signal(SIGUSR2);  // nothing to pause: ignored
   usleep(1200000);
-  CHECK(counted(*off, "marblehub_rebalance_seconds_total{state=\"starting\"}") == 0);
-  CHECK(off->log().find("rebalancing is off") != std::string::npos);
+  CHECK(metric_value(*disabled, "marblehub_rebalance_seconds_total{state=\"starting\"}") == 0);
+  CHECK(disabled->log().find("rebalancing is off") != std::string::npos);
 
-  auto on = started(R"({"enabled": true, "pause_file": ")" + pause + R"("})");
-  CHECK(on->log().find("rebalanced in a dry run") != std::string::npos);
+  auto enabled = started(R"({"enabled": true, "pause_file": ")" + pause + R"("})");
+  CHECK(enabled->log().find("rebalanced in a dry run") != std::string::npos);
   usleep(1300000);
-  CHECK(counted(*on, "marblehub_rebalance_seconds_total{state=\"starting\"}") >= 0.9);
-  CHECK(counted(*on, "marblehub_rebalance_paused") == 0);
-  on->signal(SIGUSR2);
+  CHECK(metric_value(*enabled, "marblehub_rebalance_seconds_total{state=\"starting\"}") >= 0.9);
+  CHECK(metric_value(*enabled, "marblehub_rebalance_paused") == 0);
+  enabled->signal(SIGUSR2);
   usleep(1300000);
-  CHECK(counted(*on, "marblehub_rebalance_paused") == 1);
-  CHECK(counted(*on, "marblehub_rebalance_seconds_total{state=\"paused\"}") >= 0.9);
-  on->signal(SIGUSR2);
+  CHECK(metric_value(*enabled, "marblehub_rebalance_paused") == 1);
+  CHECK(metric_value(*enabled, "marblehub_rebalance_seconds_total{state=\"paused\"}") >= 0.9);
+  enabled->signal(SIGUSR2);
   usleep(1300000);
-  CHECK(counted(*on, "marblehub_rebalance_paused") == 0);
+  CHECK(metric_value(*enabled, "marblehub_rebalance_paused") == 0);
   std::ofstream(pause) << "evening";
   usleep(1300000);
-  CHECK(counted(*on, "marblehub_rebalance_paused") == 1);
+  CHECK(metric_value(*enabled, "marblehub_rebalance_paused") == 1);
   std::remove(pause.c_str());
-  // Wrong settings on reload are refused with their key, and the old ones stay.
+  // Invalid settings on reload are rejected with their key.
   std::ofstream(file) << R"({"enabled": true, "gap": 3})";
-  on->signal(SIGHUP);
+  enabled->signal(SIGHUP);
   usleep(300000);
-  CHECK(on->log().find("gap: expected a share") != std::string::npos);
+  CHECK(enabled->log().find("gap: expected a share") != std::string::npos);
   std::remove(file.c_str());
 }
 
