--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -19,19 +19,17 @@
 }  // namespace
 
 Counters::Counters(metrics::Registry& metrics)
-    : moved(metrics.counter("marblehub_rebalance_moves_total", "Clients told to move by rebalancing")),
+    : moved(metrics.counter("marblehub_rebalance_moves_total", "Clients told to move for balance")),
       planned(metrics.counter("marblehub_rebalance_planned_total",
-                              "Moves planned by rebalancing, carried out or not")),
-      gap(metrics.gauge("marblehub_rebalance_gap",
-                        "Highest minus lowest load of the workers, relative to capacity")),
-      max_load(metrics.gauge("marblehub_rebalance_highest_load",
-                             "Highest load of a worker, relative to capacity")),
-      mean_load(
-          metrics.gauge("marblehub_rebalance_mean_load", "Mean load of the workers, relative to capacity")),
-      paused(metrics.gauge("marblehub_rebalance_paused", "Whether an operator has paused rebalancing")) {
+                              "Moves for balance that were planned, carried out or not")),
+      gap(metrics.gauge("marblehub_rebalance_gap", "Highest less lowest load a capacity")),
+      max_load(metrics.gauge("marblehub_rebalance_highest_load", "Load a capacity of the fullest worker")),
+      mean_load(metrics.gauge("marblehub_rebalance_mean_load", "Load a capacity of all workers seen")),
+      paused(
+          metrics.gauge("marblehub_rebalance_paused", "Whether an operator has paused moves for balance")) {
   for (int i = 0; i < kPlannerStateCount; ++i)
     seconds.push_back(&metrics.counter("marblehub_rebalance_seconds_total",
-                                       "Seconds that rebalancing was in each state",
+                                       "Time in which moves for balance were made, or why they were not",
                                        {{"state", name_of(static_cast<PlannerState>(i))}}));
 }
 
--- a/src/remote_write/remote_write.cpp
+++ b/src/remote_write/remote_write.cpp
@@ -92,13 +92,13 @@
       retry_timer_(loop, [this] { send(); }),
       write_timeout_(loop, [this] { retry_later(); }),
       backoff_(kMinBackoff),
-      accepted_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
+      accepted_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
                                  {{"result", "taken"}})),
-      retried_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
+      retried_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
                                 {{"result", "retried"}})),
-      refused_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
+      refused_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
                                 {{"result", "refused"}})),
-      overflowed_(registry.counter("marblehub_remote_writes_total", "Remote write requests, by result",
+      overflowed_(registry.counter("marblehub_remote_writes_total", "Remote writes, by how they ended",
                                    {{"result", "overflowed"}})) {
   collect_timer_.start(settings_.interval);
 }
