--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -84,7 +84,8 @@
   exchange.sent_at_ = now();
   exchange.attempts_ = 1;  // to the policy it is the attempt that stood at the start
   exchange.attempt_ = std::move(attempt);
-  if (watch_) watch_->stands(exchange.id_, worker, exchange.call(), !past_known);
+  if (connection_observer_)
+    connection_observer_->connection_established(exchange.id_, worker, exchange.call(), !past_known);
   notify(HandoverEvent{request_of(exchange), worker});
   return exchange;
 }
@@ -129,9 +130,10 @@
              (now() - exchange.sent_at_) / kMillisecond);
   unanswered_ -= 1;
   const bool handed_over = exchange.handover_attempts_ > 0;
-  if (watch_) {
-    watch_->answered(false);
-    watch_->stands(exchange.id_, exchange.worker_, exchange.call(), handed_over);
+  if (connection_observer_) {
+    connection_observer_->call_answered(false);
+    connection_observer_->connection_established(exchange.id_, exchange.worker_, exchange.call(),
+                                                 handed_over);
   }
   if (gate_) gate_->stands(exchange.id_);
   int attempt = exchange.attempts_ - 1;
@@ -144,7 +146,8 @@
 }
 
 void Dispatcher::attempt_over(Exchange& exchange, Outcome outcome, const LoadReport& report, bool terminal) {
-  if (watch_ && report.load >= 0) watch_->reported(exchange.worker_, report.load);
+  if (connection_observer_ && report.load >= 0)
+    connection_observer_->worker_load_reported(exchange.worker_, report.load);
   counters_.attempt_result(outcome).add();
   log::debug("call {} at {}: {} after {} ms", exchange.id_, exchange.worker_, name_of(outcome),
              (now() - exchange.sent_at_) / kMillisecond);
@@ -173,7 +176,7 @@
 void Dispatcher::redirected(Exchange& exchange, MoveReason reason) {
   counters_.moves.add();
   counters_.move_reason(reason).add();
-  if (watch_) watch_->told_to_move();
+  if (connection_observer_) connection_observer_->move_requested();
   log::debug("call {} moves off {}: {}", exchange.id_, exchange.worker_, name_of(reason));
   ResultEvent event = result_of(exchange, Outcome::cancelled, {}, true);
   close(exchange);
@@ -184,7 +187,7 @@
 void Dispatcher::answer(Exchange& exchange, Answer answer, Time pause, std::string_view words) {
   if (exchange.state_ != Exchange::State::waiting) return;
   unanswered_ -= 1;
-  if (watch_) watch_->answered(true);
+  if (connection_observer_) connection_observer_->call_answered(true);
   log::debug("call {} answered {}", exchange.id_, answer == Answer::overload ? "overload" : "failed");
   if (answer == Answer::overload) {
     counters_.rejected.add();
@@ -206,7 +209,7 @@
 void Dispatcher::close(Exchange& exchange) {
   auto it = calls_.find(exchange.id_);
   if (it == calls_.end()) return;
-  if (watch_) watch_->gone(exchange.id_);
+  if (connection_observer_) connection_observer_->connection_ended(exchange.id_);
   if (gate_) gate_->left(exchange.id_);
   ended_.push_back(std::move(it->second));
   calls_.erase(it);
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "core/call_gate.h"
+#include "core/connection_observer.h"
 #include "core/dispatcher_counters.h"
 #include "core/exchange.h"
 #include "core/message_monitor.h"
 #include "core/ports.h"
-#include "core/standing_watch.h"
 #include "core/timer_queue.h"
 #include "core/worker_directory.h"
 
@@ -48,7 +48,7 @@
 
   // ---- For a planner of moves.
 
-  void set_standing_watch(StandingWatch& watch) { watch_ = &watch; }
+  void set_connection_observer(ConnectionObserver& observer) { connection_observer_ = &observer; }
 
   /// Tells a standing connection's client to move. False where there is none by that number, or it is moving
   /// already.
@@ -143,7 +143,7 @@
   const Clock& clock_;
   Prober& prober_;
   Registry& registry_;
-  StandingWatch* watch_ = nullptr;
+  ConnectionObserver* connection_observer_ = nullptr;
   CallGate* gate_ = nullptr;
 
   policy::Balancer balancer_;
--- a/src/core/dispatcher_policy.cpp
+++ b/src/core/dispatcher_policy.cpp
@@ -38,7 +38,8 @@
   counters_.probe_result(outcome).add();
   log::debug("probe of {}: {} after {} ms, load {:.2f}", worker, name_of(outcome), rtt / kMillisecond,
              report.load);
-  if (watch_ && report.load >= 0) watch_->reported(worker, report.load);
+  if (connection_observer_ && report.load >= 0)
+    connection_observer_->worker_load_reported(worker, report.load);
   notify(ProbeResultEvent{worker, rtt, outcome, report});
 }
 
@@ -53,7 +54,7 @@
 }
 
 void Dispatcher::update_list(EndpointListKind form, const config::WorkerList& list) {
-  if (watch_) watch_->members(list);
+  if (connection_observer_) connection_observer_->worker_list_updated(list);
   if (gate_) gate_->members(list);
   // It counts as told once it has been written, which a process that was held up finds out late.
   Time written_at = waiting_since_ > 0 ? waiting_since_ : now();
--- a/src/core/dispatcher_timers.cpp
+++ b/src/core/dispatcher_timers.cpp
@@ -87,7 +87,7 @@
 }
 
 void Dispatcher::load_changed(Exchange& exchange, double load) {
-  if (watch_) watch_->load_is(exchange.id_, load);
+  if (connection_observer_) connection_observer_->connection_load_changed(exchange.id_, load);
   notify(
       ConnectionUpdateEvent{exchange.id_, exchange.attempts_ - 1, ConnectionUpdateKind::load_changed, load});
 }
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -40,8 +40,8 @@
       planner_(settings, fleet_config_of(startup), dispatcher.now()),
       last_step_at_(dispatcher.now()),
       counters_(counters) {
-  members(startup.known);
-  dispatcher.set_standing_watch(*this);
+  worker_list_updated(startup.known);
+  dispatcher.set_connection_observer(*this);
 }
 
 void Driver::update_settings(const Settings& settings) {
@@ -91,16 +91,17 @@
   counters_.paused.set(on);
 }
 
-void Driver::stands(std::uint64_t id, const std::string& worker, const core::Call& call, bool preexisting) {
+void Driver::connection_established(std::uint64_t id, const std::string& worker, const core::Call& call,
+                                    bool preexisting) {
   planner_.connection_established(dispatcher_.now(),
                                   {id, worker, call.load_hint, call.group, call.returned, preexisting});
 }
 
-void Driver::reported(const std::string& worker, double load) {
+void Driver::worker_load_reported(const std::string& worker, double load) {
   planner_.load_reported(dispatcher_.now(), worker, load);
 }
 
-void Driver::members(const config::WorkerList& list) {
+void Driver::worker_list_updated(const config::WorkerList& list) {
   std::unordered_set<std::string> listed;
   for (const config::WorkerEntry& entry : list.workers) {
     planner_.update_member({entry.backend.address, entry.backend.scale, entry.backend.start_time,
@@ -110,8 +111,8 @@
   if (list.snapshot) planner_.keep_only_members(listed);
 }
 
-void Driver::answered(bool refused) { planner_.call_answered(dispatcher_.now(), refused); }
+void Driver::call_answered(bool refused) { planner_.call_answered(dispatcher_.now(), refused); }
 
-void Driver::told_to_move() { planner_.move_requested(dispatcher_.now()); }
+void Driver::move_requested() { planner_.move_requested(dispatcher_.now()); }
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/driver.h
+++ b/src/rebalance/driver.h
@@ -18,7 +18,7 @@
 
 /// Reports the dispatcher's connections, loads and answers to the planner and carries out its plans: one per
 /// balancer. Has no timer; its owner calls step() about once a second.
-class Driver : public core::StandingWatch {
+class Driver : public core::ConnectionObserver {
  public:
   /// Registers with the dispatcher; `startup` is what the dispatcher was created with. Dispatcher and
   /// counters outlive the driver.
@@ -35,14 +35,15 @@
   const Settings& settings() const { return settings_; }
   const Planner& planner() const { return planner_; }
 
-  // core::StandingWatch
-  void stands(std::uint64_t id, const std::string& worker, const core::Call& call, bool preexisting) override;
-  void load_is(std::uint64_t id, double load) override { planner_.set_load(id, load); }
-  void gone(std::uint64_t id) override { planner_.connection_ended(id); }
-  void reported(const std::string& worker, double load) override;
-  void members(const config::WorkerList& list) override;
-  void answered(bool refused) override;
-  void told_to_move() override;
+  // core::ConnectionObserver
+  void connection_established(std::uint64_t id, const std::string& worker, const core::Call& call,
+                              bool preexisting) override;
+  void connection_load_changed(std::uint64_t id, double load) override { planner_.set_load(id, load); }
+  void connection_ended(std::uint64_t id) override { planner_.connection_ended(id); }
+  void worker_load_reported(const std::string& worker, double load) override;
+  void worker_list_updated(const config::WorkerList& list) override;
+  void call_answered(bool refused) override;
+  void move_requested() override;
 
  private:
   void check_out_of_pool(core::Time now);
