--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -62,13 +62,13 @@
     return exchange;
   }
   if (gate_) {
-    CallGate::Verdict verdict = gate_->entered(exchange.id_, exchange.call());
-    if (verdict.refused) {  // the policy never hears of it
-      answer(exchange, Answer::overload, verdict.pause, "");
+    CallGate::Decision decision = gate_->admit(exchange.id_, exchange.call());
+    if (decision.rejected) {  // the policy never hears of it
+      answer(exchange, Answer::overload, decision.retry_after, "");
       close(exchange);
       return exchange;
     }
-    exchange.only_ = std::move(verdict.only);
+    exchange.allowed_workers_ = std::move(decision.allowed_workers);
   }
   timers_.push({exchange.deadline_, TimerKind::deadline, exchange.id_});
   notify(request_of(exchange));
@@ -135,7 +135,7 @@
     connection_observer_->connection_established(exchange.id_, exchange.worker_, exchange.call(),
                                                  handed_over);
   }
-  if (gate_) gate_->stands(exchange.id_);
+  if (gate_) gate_->call_established(exchange.id_);
   int attempt = exchange.attempts_ - 1;
   if (handed_over) {
     exchange.attempts_ = 1;  // to the policy it is the attempt that stood at the start
@@ -210,7 +210,7 @@
   auto it = calls_.find(exchange.id_);
   if (it == calls_.end()) return;
   if (connection_observer_) connection_observer_->connection_ended(exchange.id_);
-  if (gate_) gate_->left(exchange.id_);
+  if (gate_) gate_->call_ended(exchange.id_);
   ended_.push_back(std::move(it->second));
   calls_.erase(it);
 }
@@ -230,17 +230,17 @@
 bool Dispatcher::move(std::uint64_t id) {
   Exchange* exchange = find(id);
   if (!exchange || !exchange->standing() || exchange->moving()) return false;
-  bool outside = gate_ && !gate_->belongs(exchange->call(), exchange->worker_);
-  exchange->redirect(outside ? MoveReason::routes : MoveReason::balance);
+  bool out_of_pool = gate_ && !gate_->placement_allowed(exchange->call(), exchange->worker_);
+  exchange->redirect(out_of_pool ? MoveReason::routes : MoveReason::balance);
   return true;
 }
 
-std::vector<std::uint64_t> Dispatcher::outside() const {
+std::vector<std::uint64_t> Dispatcher::out_of_pool() const {
   std::vector<std::uint64_t> ids;
   if (!gate_) return ids;
   for (const auto& [id, exchange] : calls_) {
     if (!exchange->standing() || exchange->moving()) continue;
-    if (!gate_->belongs(exchange->call(), exchange->worker_)) ids.push_back(id);
+    if (!gate_->placement_allowed(exchange->call(), exchange->worker_)) ids.push_back(id);
   }
   return ids;
 }
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -55,8 +55,8 @@
   bool move(std::uint64_t id);
 
   /// Standing connections that the gate would not place where they stand, by its rules of now. O(standing)
-  std::vector<std::uint64_t> outside() const;
-  std::uint64_t gate_changes() const { return gate_ ? gate_->changes() : 0; }
+  std::vector<std::uint64_t> out_of_pool() const;
+  std::uint64_t placement_version() const { return gate_ ? gate_->placement_version() : 0; }
 
   // ---- For routes and wallets.
 
@@ -149,7 +149,7 @@
   policy::Balancer balancer_;
   std::deque<policy::Event> events_;  // that the policy has not seen yet
   bool handling_events_ = false;
-  int shared_by_ = 0;  // balancers, as the policy was last told; 0: as the settings say
+  int balancer_count_ = 0;  // balancers, as the policy was last told; 0: as the settings say
 
   Exchanges calls_;
   std::vector<std::unique_ptr<Exchange>> ended_;
--- a/src/core/dispatcher_policy.cpp
+++ b/src/core/dispatcher_policy.cpp
@@ -55,7 +55,7 @@
 
 void Dispatcher::update_list(EndpointListKind form, const config::WorkerList& list) {
   if (connection_observer_) connection_observer_->worker_list_updated(list);
-  if (gate_) gate_->members(list);
+  if (gate_) gate_->worker_list_updated(list);
   // It counts as told once it has been written, which a process that was held up finds out late.
   Time written_at = waiting_since_ > 0 ? waiting_since_ : now();
   workers_.update(list, written_at, now());
@@ -68,8 +68,8 @@
 
 RequestEvent Dispatcher::request_of(const Exchange& exchange) const {
   const Call& call = exchange.call();
-  return {exchange.id_,  call.request_class, call.expires_in, call.load_hint,
-          call.returned, call.group,         exchange.only_};
+  return {exchange.id_,  call.request_class, call.expires_in,          call.load_hint,
+          call.returned, call.group,         exchange.allowed_workers_};
 }
 
 ResultEvent Dispatcher::result_of(const Exchange& exchange, Outcome outcome, const LoadReport& report,
--- a/src/core/dispatcher_timers.cpp
+++ b/src/core/dispatcher_timers.cpp
@@ -94,12 +94,12 @@
 
 // What the policy hears of the fleet beside its list, and the gate of the workers.
 void Dispatcher::follow_gate() {
-  int balancers = gate_->balancers();
-  if (balancers > 0 && balancers != shared_by_) {
-    shared_by_ = balancers;
+  int balancers = gate_->balancer_count();
+  if (balancers > 0 && balancers != balancer_count_) {
+    balancer_count_ = balancers;
     balancer_.set_balancer_count(balancers);
   }
-  gate_->down(balancer_.down_backends());
+  gate_->set_down_workers(balancer_.down_backends());
 }
 
 // ---- A planned restart -------------------------------------------------------------------------------
--- a/src/core/exchange.h
+++ b/src/core/exchange.h
@@ -83,8 +83,8 @@
   int attempts_ = 0;
   int handover_attempts_ = 0;
   bool withheld_ = false;  // the module's latest attempt was not begun: the client has left, and is read soon
-  std::shared_ptr<const std::set<std::string>> only_;  // workers it may use; none: any
-  std::string worker_, address_;                       // of the latest attempt
+  std::shared_ptr<const std::set<std::string>> allowed_workers_;  // workers it may use; none: any
+  std::string worker_, address_;                                  // of the latest attempt
   Time sent_at_ = 0, deadline_;
   bool moving_ = false;  // to be told to move as soon as the stream stands between two messages
   bool client_between_ = true;
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -77,7 +77,7 @@
     log::warning(
         "fleet: no voters are named, so nothing can be agreed on: routes and wallets stay as they are");
   // A list that nobody has told yet is none: a pool is not refused for being empty of it.
-  if (!startup.known.workers.empty()) members(startup.known);
+  if (!startup.known.workers.empty()) worker_list_updated(startup.known);
   follow(std::move(files));
 }
 
@@ -134,8 +134,8 @@
 
 void Service::leave() { driver_.leave(); }
 
-core::CallGate::Verdict Service::entered(std::uint64_t id, const core::Call& call) {
-  Verdict verdict;
+core::CallGate::Decision Service::admit(std::uint64_t id, const core::Call& call) {
+  Decision decision;
   Time now = driver_.now();
   Node& node = driver_.node();
   Routes* routes = checked("routes") ? node.routes() : nullptr;
@@ -144,7 +144,8 @@
     refused_fenced_.add();
     return {true, routes->try_again(now), nullptr};
   }
-  if (placing != Placing::plain) verdict.only = workers_.usable(route_of(*routes, now, call), *routes);
+  if (placing != Placing::plain)
+    decision.allowed_workers = workers_.usable(route_of(*routes, now, call), *routes);
   Wallets* wallets = checked("wallet") ? node.wallets() : nullptr;
   Reservation reservation;
   ReserveResult reserve_result =
@@ -154,34 +155,36 @@
     return {true, wallets->retry_after(now), nullptr};
   }
   if (reserve_result == ReserveResult::reserved) reserved_.emplace(id, reservation);
-  return verdict;
+  return decision;
 }
 
-void Service::stands(std::uint64_t id) {
+void Service::call_established(std::uint64_t id) {
   auto it = reserved_.find(id);
   if (it == reserved_.end()) return;
   driver_.node().wallets()->commit(it->second);
   reserved_.erase(it);
 }
 
-void Service::left(std::uint64_t id) {
+void Service::call_ended(std::uint64_t id) {
   auto it = reserved_.find(id);
   if (it == reserved_.end()) return;
   driver_.node().wallets()->release(it->second);
   reserved_.erase(it);
 }
 
-void Service::members(const config::WorkerList& list) {
+void Service::worker_list_updated(const config::WorkerList& list) {
   workers_.learn(list);
   driver_.with([this](Node& node, Time, Outbox&) {
     if (node.routes()) node.routes()->workers(workers_.listed());
   });
 }
 
-void Service::down(const std::vector<std::string>& workers) { workers_.down(driver_.now(), workers); }
+void Service::set_down_workers(const std::vector<std::string>& workers) {
+  workers_.down(driver_.now(), workers);
+}
 
 // Where it cannot be told what is in force, or nothing of the pool is there to go to, all stay.
-bool Service::belongs(const core::Call& call, const std::string& worker) {
+bool Service::placement_allowed(const core::Call& call, const std::string& worker) {
   Time now = driver_.now();
   Routes* routes = checked("routes") ? driver_.node().routes() : nullptr;
   if (!routes || routes->placing(now) != Placing::by_table) return true;
@@ -193,7 +196,7 @@
   return routes.route(now, class_of(call), call.tenant, call.area);
 }
 
-int Service::balancers() {
+int Service::balancer_count() {
   Time now = driver_.now();
   int members = budget_shared_by(driver_.node().view().budget_members(now), configured_, now - began_);
   shared_by_.set(members);
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -35,14 +35,14 @@
   void leave();   // when all clients have moved
 
   // core::CallGate
-  Verdict entered(std::uint64_t id, const core::Call& call) override;
-  void stands(std::uint64_t id) override;
-  void left(std::uint64_t id) override;
-  void members(const config::WorkerList& list) override;
-  int balancers() override;
-  void down(const std::vector<std::string>& workers) override;
-  bool belongs(const core::Call& call, const std::string& worker) override;
-  std::uint64_t changes() override { return workers_.changes(); }
+  Decision admit(std::uint64_t id, const core::Call& call) override;
+  void call_established(std::uint64_t id) override;
+  void call_ended(std::uint64_t id) override;
+  void worker_list_updated(const config::WorkerList& list) override;
+  int balancer_count() override;
+  void set_down_workers(const std::vector<std::string>& workers) override;
+  bool placement_allowed(const core::Call& call, const std::string& worker) override;
+  std::uint64_t placement_version() override { return workers_.changes(); }
 
  private:
   const std::string& class_of(const core::Call& call) const {
--- a/src/rebalance/driver.cpp
+++ b/src/rebalance/driver.cpp
@@ -77,12 +77,13 @@
 // Repeats the check while routes are unchanged: a call placed by the previous version may have been
 // established since.
 void Driver::check_out_of_pool(core::Time now) {
-  std::uint64_t changes = dispatcher_.gate_changes();
-  if (changes == 0 || (changes == checked_gate_changes_ && now - out_of_pool_checked_at_ < kRecheckInterval))
+  std::uint64_t version = dispatcher_.placement_version();
+  if (version == 0 ||
+      (version == checked_placement_version_ && now - out_of_pool_checked_at_ < kRecheckInterval))
     return;
-  checked_gate_changes_ = changes;
+  checked_placement_version_ = version;
   out_of_pool_checked_at_ = now;
-  planner_.set_out_of_pool(dispatcher_.outside());
+  planner_.set_out_of_pool(dispatcher_.out_of_pool());
 }
 
 void Driver::set_paused(bool on) {
--- a/src/rebalance/driver.h
+++ b/src/rebalance/driver.h
@@ -51,7 +51,7 @@
   Settings settings_;
   core::Dispatcher& dispatcher_;
   Planner planner_;
-  std::uint64_t checked_gate_changes_ = 0;  // at the last check for out-of-pool connections
+  std::uint64_t checked_placement_version_ = 0;  // at the last check for out-of-pool connections
   core::Time out_of_pool_checked_at_ = 0;
   PlannerState logged_state_ = PlannerState::starting;
   core::Time last_step_at_ = 0, logged_at_ = 0;
--- a/tests/fleet/service/dispatched.h
+++ b/tests/fleet/service/dispatched.h
@@ -18,16 +18,16 @@
     std::vector<std::string> all_down;
     std::set<std::string> pool;  // where calls may stand; empty: anywhere
     std::uint64_t changed = 0;
-    Verdict entered(std::uint64_t, const core::Call&) override { return {}; }
-    void stands(std::uint64_t) override {}
-    void left(std::uint64_t) override {}
-    void members(const config::WorkerList&) override {}
-    int balancers() override { return shared_by; }
-    void down(const std::vector<std::string>& workers) override { all_down = workers; }
-    bool belongs(const core::Call&, const std::string& worker) override {
+    Decision admit(std::uint64_t, const core::Call&) override { return {}; }
+    void call_established(std::uint64_t) override {}
+    void call_ended(std::uint64_t) override {}
+    void worker_list_updated(const config::WorkerList&) override {}
+    int balancer_count() override { return shared_by; }
+    void set_down_workers(const std::vector<std::string>& workers) override { all_down = workers; }
+    bool placement_allowed(const core::Call&, const std::string& worker) override {
       return pool.empty() || pool.count(worker);
     }
-    std::uint64_t changes() override { return changed; }
+    std::uint64_t placement_version() override { return changed; }
   };
   struct Out : core::Attempt {
     void deliver(std::string_view) override {}
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -53,7 +53,7 @@
     }
     return most;
   }
-  std::size_t outside() { return d.dispatcher->outside().size(); }
+  std::size_t outside() { return d.dispatcher->out_of_pool().size(); }
 
   Dispatched d;
   Dispatched::Gate gate;
