--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -37,7 +37,7 @@
 
 Dispatcher::~Dispatcher() = default;
 
-int Dispatcher::class_named(std::string_view name) const {
+int Dispatcher::class_index(std::string_view name) const {
   for (std::size_t i = 0; i < settings_.classes.size(); ++i)
     if (settings_.classes[i].name == name) return static_cast<int>(i);
   return -1;
@@ -52,11 +52,11 @@
   return *calls_.emplace(id, std::move(made)).first->second;
 }
 
-Exchange& Dispatcher::take(Call call, ClientSide& client, WorkerSide& workers) {
+Exchange& Dispatcher::accept_call(Call call, ClientSide& client, WorkerSide& workers) {
   Exchange& exchange = enter(std::move(call), client, workers);
   unanswered_ += 1;
   counters_.calls.add();
-  const std::string& owner = exchange.call().handed_to;
+  const std::string& owner = exchange.call().handover_worker;
   if (!owner.empty() && !workers_.address_of(owner).empty()) {
     hand_over(exchange);
     return exchange;
@@ -76,16 +76,16 @@
 }
 
 Exchange& Dispatcher::adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
-                            std::unique_ptr<Attempt> attempt, bool past_known) {
+                            std::unique_ptr<Attempt> attempt, bool history_known) {
   Exchange& exchange = enter(std::move(call), client, workers);
   counters_.adopted.add();
-  exchange.state_ = Exchange::State::standing;
+  exchange.state_ = Exchange::State::established;
   exchange.worker_ = worker;
   exchange.sent_at_ = now();
   exchange.attempts_ = 1;  // to the policy it is the attempt that stood at the start
   exchange.attempt_ = std::move(attempt);
   if (connection_observer_)
-    connection_observer_->connection_established(exchange.id_, worker, exchange.call(), !past_known);
+    connection_observer_->connection_established(exchange.id_, worker, exchange.call(), !history_known);
   notify(HandoverEvent{request_of(exchange), worker});
   return exchange;
 }
@@ -93,7 +93,7 @@
 // A connection from before the start goes back to its own worker, whatever the policy would choose.
 void Dispatcher::hand_over(Exchange& exchange) {
   exchange.handover_attempts_ += 1;
-  begin_attempt(exchange, exchange.call().handed_to, kHandoverTimeout);
+  begin_attempt(exchange, exchange.call().handover_worker, kHandoverTimeout);
 }
 
 void Dispatcher::hand_over_again(Exchange& exchange) {
@@ -108,7 +108,7 @@
   exchange.sent_at_ = now();
   int attempt = exchange.attempts_++;
   // The policy chooses before the sockets are read: the end of a client that has left may still lie in one.
-  exchange.withheld_ = !exchange.client_waits();
+  exchange.withheld_ = !exchange.client_waiting();
   if (exchange.withheld_) return;  // its end is read in this turn, and ends the call
   log::debug("call {} sent to {}", exchange.id_, worker);
   counters_.attempts.add();
@@ -229,7 +229,7 @@
 
 bool Dispatcher::move(std::uint64_t id) {
   Exchange* exchange = find(id);
-  if (!exchange || !exchange->standing() || exchange->moving()) return false;
+  if (!exchange || !exchange->is_established() || exchange->move_pending()) return false;
   bool out_of_pool = gate_ && !gate_->placement_allowed(exchange->call(), exchange->worker_);
   exchange->redirect(out_of_pool ? MoveReason::routes : MoveReason::balance);
   return true;
@@ -239,7 +239,7 @@
   std::vector<std::uint64_t> ids;
   if (!gate_) return ids;
   for (const auto& [id, exchange] : calls_) {
-    if (!exchange->standing() || exchange->moving()) continue;
+    if (!exchange->is_established() || exchange->move_pending()) continue;
     if (!gate_->placement_allowed(exchange->call(), exchange->worker_)) ids.push_back(id);
   }
   return ids;
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -29,18 +29,18 @@
 
   Time now() const { return clock_.now(); }
   /// Index of the settings' request class of that name; -1: none.
-  int class_named(std::string_view name) const;
+  int class_index(std::string_view name) const;
   const policy::Settings& settings() const { return settings_; }
 
   // ---- From the fronts.
 
   /// A client's call. The exchange lives until it is over and free_ended() has been called.
-  Exchange& take(Call call, ClientSide& client, WorkerSide& workers);
+  Exchange& accept_call(Call call, ClientSide& client, WorkerSide& workers);
 
   /// A connection that stands already, at this worker: another balancer set it up, and it has come here. Its
   /// past, how long it has stood and whether its client was moved, is known only where the call says it all.
   Exchange& adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
-                  std::unique_ptr<Attempt> attempt, bool past_known = false);
+                  std::unique_ptr<Attempt> attempt, bool history_known = false);
 
   void probe_result(const std::string& worker, Time rtt, Outcome outcome, const LoadReport& report);
   void list_received(const config::WorkerList& list);
@@ -83,7 +83,7 @@
   /// move.
   void end_all();
   std::size_t unanswered() const { return unanswered_; }
-  std::size_t standing() const { return calls_.size() - unanswered_; }
+  std::size_t established_count() const { return calls_.size() - unanswered_; }
 
   /// The workers that service discovery has named, those that drain or are gone included.
   using Worker = WorkerDirectory::Worker;
--- a/src/core/dispatcher_counters.cpp
+++ b/src/core/dispatcher_counters.cpp
@@ -45,7 +45,7 @@
       list_failures(counters.counter("marblehub_registry_failures_total", "Registry calls that failed")),
       drain_stops(counters.counter("marblehub_drain_stops_total",
                                    "Attempts stopped because their worker had begun to leave")),
-      standing(counters.gauge("marblehub_connections", "Connections that stand")),
+      established(counters.gauge("marblehub_connections", "Connections that stand")),
       waiting(counters.gauge("marblehub_calls_waiting", "Calls not yet answered")),
       workers_down(counters.gauge("marblehub_workers_down", "Listed workers marked down")) {
   for (const char* name : kOutcomeNames)
--- a/src/core/dispatcher_counters.h
+++ b/src/core/dispatcher_counters.h
@@ -23,7 +23,7 @@
 
   Counter &calls, &adopted, &served, &rejected, &failed, &clients_left, &deadline_answers, &attempts, &moves,
       &silent_moves, &slow_notes, &probes, &lists, &list_failures, &drain_stops;
-  Counter &standing, &waiting, &workers_down;  // gauges
+  Counter &established, &waiting, &workers_down;  // gauges
 
  private:
   std::vector<Counter*> attempt_results_, probe_results_;  // by Outcome
--- a/src/core/dispatcher_policy.cpp
+++ b/src/core/dispatcher_policy.cpp
@@ -131,7 +131,7 @@
   prober_.probe(action.backend, workers_.address_of(action.backend));
 }
 
-void Dispatcher::carry_out(const WatchEndpoints&) { registry_.track(); }
+void Dispatcher::carry_out(const WatchEndpoints&) { registry_.watch_endpoints(); }
 
 void Dispatcher::carry_out(const SetTimer& action) {
   timers_.push({now() + action.after, TimerKind::policy, action.cookie});
--- a/src/core/dispatcher_timers.cpp
+++ b/src/core/dispatcher_timers.cpp
@@ -40,7 +40,7 @@
 
 void Dispatcher::attempt_timed_out(Exchange& exchange, int attempt) {
   if (!exchange.attempt_ || exchange.attempts_ - 1 != attempt) return;
-  bool worker_to_blame = exchange.attempt_->silence_tells();
+  bool worker_to_blame = exchange.attempt_->timeout_blames_worker();
   exchange.drop_attempt();  // first: no two attempts may be in flight at once
   attempt_over(exchange, worker_to_blame ? Outcome::timeout : Outcome::not_sent, {}, false);
 }
@@ -70,7 +70,7 @@
     if (Exchange* exchange = find(id)) exchange->redirect(MoveReason::silent);
   for (std::uint64_t id : findings.stopped)
     if (Exchange* exchange = find(id)) exchange->redirect_now(exchange->move_reason());
-  counters_.standing.set(static_cast<double>(standing()));
+  counters_.established.set(static_cast<double>(established_count()));
   counters_.waiting.set(static_cast<double>(unanswered_));
   counters_.workers_down.set(static_cast<double>(balancer_.down_backends().size()));
 }
@@ -122,7 +122,7 @@
 void Dispatcher::retire(Time span) {
   std::vector<std::uint64_t> ids;
   for (auto& [id, exchange] : calls_)
-    if (exchange->standing()) ids.push_back(id);
+    if (exchange->is_established()) ids.push_back(id);
   for (std::size_t i = 0; i < ids.size(); ++i) {
     Time after = span * static_cast<Time>(i) / static_cast<Time>(ids.size());
     timers_.push({now() + after, TimerKind::move, ids[i]});
--- a/src/core/message_monitor.cpp
+++ b/src/core/message_monitor.cpp
@@ -36,7 +36,8 @@
   for (auto next = watched_.begin(); next != watched_.end();) {
     auto it = exchanges.find(*next);
     const Exchange* exchange = it == exchanges.end() ? nullptr : it->second.get();
-    bool watch_on = exchange && exchange->standing() && (exchange->moving() || exchange->awaits_answer());
+    bool watch_on =
+        exchange && exchange->is_established() && (exchange->move_pending() || exchange->awaits_answer());
     next = watch_on ? std::next(next) : watched_.erase(next);
     if (watch_on) judge(*exchange, now, findings);
   }
@@ -51,8 +52,8 @@
   if (!exchange.awaits_answer()) return;
   Time waited = now - exchange.unanswered_since();
   if (waited > kSilenceBound) {
-    if (!exchange.moving()) findings.newly_silent += 1;
-    (exchange.stopped_inside_a_message() ? findings.stopped : findings.silent).push_back(exchange.id());
+    if (!exchange.move_pending()) findings.newly_silent += 1;
+    (exchange.stalled_inside_message() ? findings.stopped : findings.silent).push_back(exchange.id());
   } else if (waited > objective_) {
     findings.late.push_back({exchange.id(), waited});
   }
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -24,17 +24,17 @@
 };
 
 // How a side ended its part: in order, or by breaking off. Passed on as it came.
-enum class Ending { finished, broken };
+enum class CloseKind { orderly, aborted };
 
 // Why a standing connection's client is told to move: what the policy says of its worker; no answer on it for
 // too long; the planner, for balance or because routes name another pool; a planned restart.
 enum class MoveReason { draining, down, overwhelmed, late, silent, balance, routes, restart };
 
 // Part of what one side sends the other while a connection stands.
-struct Piece {
+struct StreamChunk {
   std::string_view bytes;
-  int messages = 0;     // whole messages that end in it
-  bool between = true;  // after it the stream stands between two messages
+  int messages = 0;         // whole messages that end in it
+  bool at_boundary = true;  // after it the stream stands between two messages
 };
 
 class ClientSide {
@@ -46,12 +46,12 @@
   virtual void failed(std::string_view words) = 0;  // the worker's own words, if it had any
   // Whether its client is still there, asked of the connection itself: the client's end may lie behind what
   // has been read of it so far. True where that cannot be told.
-  virtual bool still_there() const { return true; }
+  virtual bool is_connected() const { return true; }
   // While the connection stands.
   virtual void deliver(std::string_view bytes) = 0;
-  virtual void hold(bool on) = 0;         // the worker takes no more for now
-  virtual void redirect() = 0;            // tell the client to come again, and end
-  virtual void ended(Ending ending) = 0;  // the worker's side has ended
+  virtual void hold(bool on) = 0;            // the worker takes no more for now
+  virtual void redirect() = 0;               // tell the client to come again, and end
+  virtual void ended(CloseKind ending) = 0;  // the worker's side has ended
 };
 
 // One attempt: the call is out at one worker. Destroying it gives the attempt up.
@@ -60,11 +60,11 @@
   virtual ~Attempt() = default;
   virtual void deliver(std::string_view bytes) = 0;
   virtual void hold(bool on) = 0;
-  virtual void finish(Ending ending) = 0;  // the client's side has ended; destroyed right after
+  virtual void finish(CloseKind ending) = 0;  // the client's side has ended; destroyed right after
   // Whether a worker that says nothing to it is to blame. Not before it has been sent the call, nor where
   // anyone may have made the call up and it cannot have run: a flood of those would have every worker taken
   // for dead.
-  virtual bool silence_tells() const { return true; }
+  virtual bool timeout_blames_worker() const { return true; }
 };
 
 class WorkerSide {
@@ -84,7 +84,7 @@
 class Registry {
  public:
   virtual ~Registry() = default;
-  virtual void track() = 0;
+  virtual void watch_endpoints() = 0;
 };
 
 }  // namespace marblehub::core
--- a/src/fleet/net/peers.cpp
+++ b/src/fleet/net/peers.cpp
@@ -36,9 +36,9 @@
   void connected() override { open = true; }
   void received(std::string_view) override {}
   void drained() override { stalled_since = 0; }
-  void ended(net::Ending ending) override {
+  void ended(net::CloseKind ending) override {
     if (stream->backlog() > 0) owner.heard_.dropped("unreachable");  // once for all of it
-    if (ending == net::Ending::broken) failed_at = owner.loop_.now();
+    if (ending == net::CloseKind::aborted) failed_at = owner.loop_.now();
     net::Stream::drop(std::move(stream));
   }
   Peers& owner;
@@ -68,7 +68,7 @@
     }
     in.erase(0, at);
   }
-  void ended(net::Ending) override { end(); }
+  void ended(net::CloseKind) override { end(); }
   void end() {  // ends this object
     net::Stream::drop(std::move(stream));
     if (!proven) owner.unproven_ -= 1;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -61,7 +61,7 @@
         descriptors_(startup_.sockets),
         probes_(loop_, startup_.settings.connect_timeout_us),
         registry_(loop_, startup_.registry, startup_.known),
-        agent_again_(loop_, [this] { registry_.track(); }),
+        agent_again_(loop_, [this] { registry_.watch_endpoints(); }),
         dispatcher_(startup_, loop_, probes_, registry_, metrics_),
         workers_(loop_, startup_.settings.connect_timeout_us, metrics_),
         listener_(loop_, dispatcher_, workers_, address(), descriptors_, metrics_),
@@ -96,7 +96,7 @@
     log::info("{} listens on {}", startup_.name, startup_.listen);
     net::SignalGate signals(kWatchedSignals);
     if (rebalance_) plan_tick_.start(kPlanEvery);
-    if (list_is_pushed()) registry_.track();
+    if (list_is_pushed()) registry_.watch_endpoints();
     loop_.run();
     print();
   }
@@ -259,7 +259,7 @@
 
   void retire() {
     if (retiring_since_ > 0) return;
-    log::info("{} retires with {} connections", startup_.name, dispatcher_.standing());
+    log::info("{} retires with {} connections", startup_.name, dispatcher_.established_count());
     if (fleet_) fleet_->settle();
     retiring_since_ = loop_.now();
     retire_tick_.start(kTick);
@@ -292,7 +292,7 @@
 
   // Nobody is here any more, and nobody will come.
   bool empty() const {
-    return listener_.closed() && listener_.not_asked_yet() == 0 && dispatcher_.standing() == 0 &&
+    return listener_.closed() && listener_.not_asked_yet() == 0 && dispatcher_.established_count() == 0 &&
            dispatcher_.unanswered() == 0;
   }
 
--- a/src/model/client_session.cpp
+++ b/src/model/client_session.cpp
@@ -91,7 +91,7 @@
   host->later(event, host->now() + after);
 }
 
-void Host::Session::ended(core::Ending) {
+void Host::Session::ended(core::CloseKind) {
   exchange = nullptr;
   host->note("is cut", *this);
   host->goes(*this, -1, true);
--- a/src/model/host.cpp
+++ b/src/model/host.cpp
@@ -146,7 +146,7 @@
   call.load_hint = session.client.load;
   call.group = session.client.group;
   call.returned = session.client.returned;
-  call.opening = std::to_string(session.key());
+  call.front_data = std::to_string(session.key());
   return call;
 }
 
@@ -181,7 +181,7 @@
   session.asked_at = now();
   figures_.calls += 1;
   note("asks", session);
-  core::Exchange& exchange = dispatcher_->take(call_of(session), session, *workers_side_);
+  core::Exchange& exchange = dispatcher_->accept_call(call_of(session), session, *workers_side_);
   if (!session.answered && session.used) session.exchange = &exchange;
 }
 
--- a/src/model/host.h
+++ b/src/model/host.h
@@ -55,7 +55,7 @@
   // core::Clock, core::Prober, core::Registry
   Time now() const override { return Lane::now(); }
   void probe(const std::string& worker, const std::string& address) override;
-  void track() override;
+  void watch_endpoints() override;
 
  private:
   struct Session;    // a client that is here
--- a/src/model/host_events.cpp
+++ b/src/model/host_events.cpp
@@ -28,7 +28,7 @@
 }
 
 // The registry answers with all that was told since, and then with each change as it comes.
-void Host::track() {
+void Host::watch_endpoints() {
   tracking_ = true;
   for (const auto& [worker, event] : latest_) later(event, now() + scenario_.hop);
 }
@@ -111,7 +111,7 @@
   for (Session* session : here) {
     if (choice_.uniform() >= share) continue;
     core::Exchange* exchange = std::exchange(session->exchange, nullptr);
-    exchange->client_left(core::Ending::broken);
+    exchange->client_left(core::CloseKind::aborted);
     goes(*session, static_cast<Time>(choice_.uniform() * static_cast<double>(within)), true);
   }
 }
@@ -122,7 +122,7 @@
   if (!session.used || !session.stands || session.life != event.key >> 32) return;
   note("goes", session);
   if (core::Exchange* exchange = std::exchange(session.exchange, nullptr)) {
-    exchange->client_left(core::Ending::finished);
+    exchange->client_left(core::CloseKind::orderly);
   } else {  // one that its worker never moved
     send_worker(What::gone, session.worker, session.key(), nullptr);
   }
@@ -140,9 +140,10 @@
     return;
   }
   if (!session->attempt || session->attempt->key() != event.key || !session->exchange) return;
-  if (event.what == What::up) return session->exchange->worker_up({});
+  if (event.what == What::up) return session->exchange->worker_established({});
   session->attempt->ended();
-  session->exchange->worker_ended(static_cast<Outcome>(event.outcome), core::Ending::broken, {event.value});
+  session->exchange->worker_ended(static_cast<Outcome>(event.outcome), core::CloseKind::aborted,
+                                  {event.value});
 }
 
 void Host::probe_answered(const Event& event) {
--- a/src/model/host_parts.h
+++ b/src/model/host_parts.h
@@ -35,7 +35,7 @@
   void deliver(std::string_view) override {}
   void hold(bool) override {}
   void redirect() override;
-  void ended(core::Ending) override;
+  void ended(core::CloseKind) override;
   void final_answer();
   void stand();  // takes its place at its worker, until its wish is over
   void leave_worker();
@@ -56,7 +56,7 @@
     session_.host->send_worker(What::message, worker_, key_, nullptr);
   }
   void hold(bool) override {}
-  void finish(core::Ending) override {}
+  void finish(core::CloseKind) override {}
 
   std::uint64_t key() const { return key_; }
   void ended() { ended_ = true; }
@@ -73,7 +73,7 @@
   explicit WorkerPort(Host& host) : host_(host) {}
   std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
                                                const std::string&, Time) override {
-    Session& session = *host_.session_of(std::stoull(exchange.call().opening));
+    Session& session = *host_.session_of(std::stoull(exchange.call().front_data));
     int number = host_.places_.numbers.at(worker);
     session.attempts += 1;
     session.worker = number;
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -202,7 +202,7 @@
 void ClientLink::ask(std::string line) {
   core::Dispatcher& dispatcher = listener_.dispatcher_;
   std::optional<Opening> opening = opening_in(line);
-  int request_class = opening ? dispatcher.class_named(opening->request_class) : -1;
+  int request_class = opening ? dispatcher.class_index(opening->request_class) : -1;
   if (request_class < 0 || !in_.empty()) return malformed();
   if (!opening->worker.empty() && !dispatcher.workers().count(std::string(opening->worker)))
     return malformed();
@@ -223,17 +223,17 @@
   call.load_hint = opening->load_hint;
   call.returned = opening->again;
   call.group = opening->group.empty() ? 0 : number_for(opening->group);
-  call.handed_to = opening->worker;
+  call.handover_worker = opening->worker;
   call.tenant = field(line, "t").value_or("");
   call.area = opening->group;
-  call.opening = std::move(line);
-  exchange_ = &dispatcher.take(std::move(call), *this, listener_.workers_);
+  call.front_data = std::move(line);
+  exchange_ = &dispatcher.accept_call(std::move(call), *this, listener_.workers_);
   if (!stream_) exchange_ = nullptr;  // answered from within
 }
 
 void ClientLink::malformed() {
   listener_.malformed_.add();
-  if (exchange_) exchange_->client_left(Ending::broken);
+  if (exchange_) exchange_->client_left(CloseKind::aborted);
   exchange_ = nullptr;
   say_and_close("ERR\r\n", Stream::turn_away);
 }
@@ -262,24 +262,24 @@
 }
 
 void ClientLink::forward(std::string_view bytes) {
-  core::Piece piece{bytes, 0, true};
+  core::StreamChunk chunk{bytes, 0, true};
   for (std::string_view rest = bytes; !rest.empty();) {
     LineWatch::Part part = lines_.next(rest);
-    piece.messages += part.ended;
+    chunk.messages += part.ended;
     rest.remove_prefix(part.length);
   }
-  piece.between = lines_.between();
-  if (exchange_) exchange_->client_sent(piece);
+  chunk.at_boundary = lines_.between();
+  if (exchange_) exchange_->client_sent(chunk);
 }
 
 void ClientLink::drained() {
   if (exchange_ && full_told_) {
     full_told_ = false;
-    exchange_->client_full(false);
+    exchange_->client_blocked(false);
   }
 }
 
-void ClientLink::ended_by_peer(Ending ending) {
+void ClientLink::ended_by_peer(CloseKind ending) {
   if (exchange_) exchange_->client_left(ending);
   exchange_ = nullptr;
   close(ending);
@@ -307,7 +307,7 @@
   say(bytes);
   if (stream_->backlog() > kBacklogBound && !full_told_ && exchange_) {
     full_told_ = true;
-    exchange_->client_full(true);
+    exchange_->client_blocked(true);
   }
 }
 
@@ -322,7 +322,7 @@
   say_and_close(std::string(line_end) + "MOVE\r\n");
 }
 
-void ClientLink::ended(Ending ending) {
+void ClientLink::ended(CloseKind ending) {
   exchange_ = nullptr;
   close(ending);
 }
@@ -339,7 +339,9 @@
   end(how);
 }
 
-void ClientLink::close(Ending ending) { end(ending == Ending::finished ? Stream::finish : Stream::reset); }
+void ClientLink::close(CloseKind ending) {
+  end(ending == CloseKind::orderly ? Stream::finish : Stream::reset);
+}
 
 // The one place where a client's descriptor, its id and its place in the lists are given back.
 void ClientLink::end(void (*how)(std::unique_ptr<Stream>)) {
--- a/src/net/client_side.h
+++ b/src/net/client_side.h
@@ -75,16 +75,16 @@
   void established(std::string_view receipt) override;
   void overload_reply(Time pause) override;
   void failed(std::string_view words) override;
-  bool still_there() const override { return stream_ && !stream_->peer_ended(); }
+  bool is_connected() const override { return stream_ && !stream_->peer_ended(); }
   void deliver(std::string_view bytes) override;
   void hold(bool on) override;
   void redirect() override;
-  void ended(Ending ending) override;
+  void ended(CloseKind ending) override;
 
   // From the socket.
   void received(std::string_view bytes);
   void drained();
-  void ended_by_peer(Ending ending);
+  void ended_by_peer(CloseKind ending);
 
  private:
   friend class Listener;
@@ -93,7 +93,7 @@
     explicit FromStream(ClientLink& l) : link(l) {}
     void received(std::string_view bytes) override { link.received(bytes); }
     void drained() override { link.drained(); }
-    void ended(Ending ending) override { link.ended_by_peer(ending); }
+    void ended(CloseKind ending) override { link.ended_by_peer(ending); }
     ClientLink& link;
   };
 
@@ -108,7 +108,7 @@
   void forward(std::string_view bytes);
   void say(std::string_view bytes);
   void say_and_close(std::string_view line, void (*how)(std::unique_ptr<Stream>) = Stream::finish);
-  void close(Ending ending);
+  void close(CloseKind ending);
   void end(void (*how)(std::unique_ptr<Stream>));
 
   Listener& listener_;
--- a/src/net/registry_watch.cpp
+++ b/src/net/registry_watch.cpp
@@ -73,7 +73,7 @@
   next_.start(0);
 }
 
-void RegistryWatch::track() {
+void RegistryWatch::watch_endpoints() {
   if (closed_ || out_ || next_.active()) return;  // one call out at a time
   first_ = true;
   next_.start(0);
@@ -118,7 +118,7 @@
   if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || used != bytes.size()) fail("not HTTP");
 }
 
-void RegistryWatch::ended(Ending) {
+void RegistryWatch::ended(CloseKind) {
   if (out_ && stream_) {  // a body may end with its connection
     http_parser_execute(&parser_, &callbacks(), nullptr, 0);
     if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED && parser_.status_code == 200) return complete();
--- a/src/net/registry_watch.h
+++ b/src/net/registry_watch.h
@@ -27,13 +27,13 @@
   // the new one, which need not count its versions as the old one did.
   void follow(std::string address);
 
-  void track() override;
+  void watch_endpoints() override;
   // Takes what has come by now without waiting for the loop.
   void read_now();
 
   void connected() override;
   void received(std::string_view bytes) override;
-  void ended(Ending ending) override;
+  void ended(CloseKind ending) override;
 
  private:
   void call();
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -115,8 +115,8 @@
   io_.start(fd_.get(), (reading_ ? EV_READ : 0) | (writing ? EV_WRITE : 0));
 }
 
-void Stream::fail(Ending ending) {
-  if (lingering_ && ending == Ending::finished && !out_.empty()) {  // it sends no more but may still read
+void Stream::fail(CloseKind ending) {
+  if (lingering_ && ending == CloseKind::orderly && !out_.empty()) {  // it sends no more but may still read
     reading_ = false;
     return watch();
   }
@@ -128,12 +128,12 @@
 
 void Stream::on_io(int events) {
   if (state_ == State::closed) return;
-  if (broken_ && (state_ == State::connecting || lingering_)) return fail(Ending::broken);
+  if (broken_ && (state_ == State::connecting || lingering_)) return fail(CloseKind::aborted);
   if (state_ == State::connecting) {
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return fail(Ending::broken);
+    if (error != 0) return fail(CloseKind::aborted);
     state_ = State::open;
     flush();
     if (handler_) handler_->connected();
@@ -173,7 +173,7 @@
   bool nothing_yet = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
   if (nothing_yet && !broken_) return false;
   if (n <= 0) {
-    fail(n == 0 && !broken_ ? Ending::finished : Ending::broken);
+    fail(n == 0 && !broken_ ? CloseKind::orderly : CloseKind::aborted);
     return false;
   }
   if (handler_) {
@@ -221,7 +221,7 @@
   if (resting == spare_.end()) return false;
   Stream& stream = **resting;
   stream.spare(false);
-  stream.fail(Ending::broken);
+  stream.fail(CloseKind::aborted);
   return true;
 }
 
@@ -272,8 +272,8 @@
   drop(std::move(stream));
 }
 
-void Stream::end(std::unique_ptr<Stream> stream, Ending ending) {
-  if (ending == Ending::finished) return finish(std::move(stream));
+void Stream::end(std::unique_ptr<Stream> stream, CloseKind ending) {
+  if (ending == CloseKind::orderly) return finish(std::move(stream));
   reset(std::move(stream));
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -13,7 +13,7 @@
 
 namespace marblehub::net {
 
-using core::Ending;
+using core::CloseKind;
 
 using config::parse_address;
 
@@ -26,8 +26,8 @@
     virtual ~Handler() = default;
     virtual void connected() {}
     virtual void received(std::string_view bytes) = 0;
-    virtual void drained() {}               // after a write did not go out at once
-    virtual void ended(Ending ending) = 0;  // the peer's side, or a connect that failed
+    virtual void drained() {}                  // after a write did not go out at once
+    virtual void ended(CloseKind ending) = 0;  // the peer's side, or a connect that failed
   };
 
   Stream(Loop& loop, Handler& handler);
@@ -69,7 +69,7 @@
   // Closes at once: what is written goes out, but the descriptor is free right away.
   static void drop(std::unique_ptr<Stream> stream);
   static void reset(std::unique_ptr<Stream> stream);
-  static void end(std::unique_ptr<Stream> stream, Ending ending);  // the one or the other
+  static void end(std::unique_ptr<Stream> stream, CloseKind ending);  // the one or the other
 
  private:
   enum class State { idle, connecting, open, closed };
@@ -78,7 +78,7 @@
   void read_some();
   bool read_once();
   void flush();
-  void fail(Ending ending);
+  void fail(CloseKind ending);
   void watch();
   void settle();
   void discard();
--- a/src/net/worker_side.cpp
+++ b/src/net/worker_side.cpp
@@ -7,7 +7,7 @@
 namespace marblehub::net {
 namespace {
 
-using core::Ending;
+using core::CloseKind;
 using core::Outcome;
 
 constexpr Time kProbeTimeout = 500'000;
@@ -25,7 +25,7 @@
         exchange_(&exchange),
         wait_until_(side.loop_.now() + wait),
         stream_(std::make_unique<Stream>(side.loop_, *this)),
-        connect_timer_(side.loop_, [this] { over(Outcome::connect_failed, Ending::broken); }) {
+        connect_timer_(side.loop_, [this] { over(Outcome::connect_failed, CloseKind::aborted); }) {
     if (auto to = parse_address(address)) {
       stream_->connect(*to);
       connect_timer_.start(side.connect_timeout_);
@@ -37,13 +37,13 @@
   void connected() override {
     connect_timer_.stop();
     if (!exchange_) return;
-    if (!exchange_->client_waits()) return;  // its end is read in this turn, and ends the call
+    if (!exchange_->client_waiting()) return;  // its end is read in this turn, and ends the call
     // That nothing begins now is no fault of the worker's.
     bool in_time = side_.loop_.now() < wait_until_;
-    if (!in_time || !exchange_->may_begin()) return over(Outcome::not_sent, Ending::broken);
+    if (!in_time || !exchange_->may_begin()) return over(Outcome::not_sent, CloseKind::aborted);
     // The worker is told how long this balancer will wait, not how long the client once would.
     Time left = std::max<Time>(1, (wait_until_ - side_.loop_.now()) / 1000);
-    std::string line = with_field(exchange_->call().opening, "d", std::to_string(left)) + "\r\n";
+    std::string line = with_field(exchange_->call().front_data, "d", std::to_string(left)) + "\r\n";
     side_.bytes_out_.add(static_cast<double>(line.size()));
     asked_ = true;
     stream_->write(line);
@@ -54,7 +54,7 @@
     if (!up_) {
       in_.append(bytes);
       std::size_t end = in_.find('\n');
-      if (std::min(end, in_.size()) >= kLongestLine) return over(Outcome::error, Ending::broken);
+      if (std::min(end, in_.size()) >= kLongestLine) return over(Outcome::error, CloseKind::aborted);
       if (end == std::string::npos) return;
       std::string line = in_.substr(0, end + 1), rest = in_.substr(end + 1);
       in_.clear();
@@ -63,7 +63,7 @@
         return;
       }
       up_ = true;
-      if (exchange_) exchange_->worker_up(line);
+      if (exchange_) exchange_->worker_established(line);
       if (!rest.empty()) pass(rest);
       return;
     }
@@ -73,10 +73,10 @@
   void drained() override {
     if (!exchange_ || !full_told_) return;
     full_told_ = false;
-    exchange_->worker_full(false);
+    exchange_->worker_blocked(false);
   }
 
-  void ended(Ending ending) override {
+  void ended(CloseKind ending) override {
     connect_timer_.stop();
     if (!exchange_) return;
     if (up_) return over(closing_, ending);
@@ -91,14 +91,14 @@
     stream_->write(bytes);
     if (stream_->backlog() > kBacklogBound && !full_told_ && exchange_) {
       full_told_ = true;
-      exchange_->worker_full(true);
+      exchange_->worker_blocked(true);
     }
   }
   void hold(bool on) {
     if (stream_) stream_->read_on(!on);
   }
   bool asked() const { return asked_ && stream_ && stream_->backlog() == 0; }
-  void finish(Ending ending) { Stream::end(std::move(stream_), up_ ? ending : Ending::broken); }
+  void finish(CloseKind ending) { Stream::end(std::move(stream_), up_ ? ending : CloseKind::aborted); }
   void detach() {
     exchange_ = nullptr;
     connect_timer_.stop();
@@ -115,13 +115,13 @@
     if (verb == "BUSY") outcome = Outcome::full;
     if (verb == "BYE") outcome = Outcome::served;
     if (verb == "MOVE") outcome = Outcome::cancelled;
-    over(outcome, Ending::finished, report, line);
+    over(outcome, CloseKind::orderly, report, line);
   }
 
   void pass(std::string_view bytes) {
     while (!bytes.empty() && exchange_) {
       LineWatch::Part part = lines_.next(bytes);
-      core::Piece piece{bytes.substr(0, part.length), 0, lines_.between()};
+      core::StreamChunk chunk{bytes.substr(0, part.length), 0, lines_.between()};
       bytes.remove_prefix(part.length);
       if (part.ended) {
         std::string_view verb = verb_of(lines_.last());
@@ -130,10 +130,10 @@
         } else if (verb == "BYE" || verb == "MOVE" || verb == "ERR") {
           closing_ = verb == "BYE" ? Outcome::served : verb == "MOVE" ? Outcome::cancelled : Outcome::error;
         } else if (verb != "UP" && verb != "BUSY") {  // these: a second answer, late, to the opening line
-          piece.messages = 1;
+          chunk.messages = 1;
         }
       }
-      exchange_->worker_sent(piece);
+      exchange_->worker_sent(chunk);
     }
   }
 
@@ -143,7 +143,7 @@
     if (auto load = config::number_in<double>(line.substr(5))) exchange_->worker_load(*load);
   }
 
-  void over(Outcome outcome, Ending ending, const core::LoadReport& report = {},
+  void over(Outcome outcome, CloseKind ending, const core::LoadReport& report = {},
             std::string_view words = {}) {
     connect_timer_.stop();
     Stream::end(std::move(stream_), ending);
@@ -174,8 +174,8 @@
   }
   void deliver(std::string_view bytes) override { link_->deliver(bytes); }
   void hold(bool on) override { link_->hold(on); }
-  void finish(Ending ending) override { link_->finish(ending); }
-  bool silence_tells() const override { return link_->asked(); }
+  void finish(CloseKind ending) override { link_->finish(ending); }
+  bool timeout_blames_worker() const override { return link_->asked(); }
 
  private:
   Loop& loop_;
@@ -231,7 +231,7 @@
     if (!pong) drop();
     end(pong ? Outcome::served : Outcome::error, report_in(*line));
   }
-  void ended(Ending) override {
+  void ended(CloseKind) override {
     bool unsent = stream_->unsent();
     drop();
     if (!waiting_) return;
--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -9,7 +9,7 @@
 
 namespace marblehub::quic {
 
-using core::Ending;
+using core::CloseKind;
 using core::Outcome;
 
 namespace {
@@ -30,14 +30,14 @@
   }
   void fail(Outcome why) {
     failed_ = std::make_unique<net::TimerWatch>(flow_.front.loop_, [this, why] {
-      exchange_.worker_ended(why, Ending::broken);  // this ends with it
+      exchange_.worker_ended(why, CloseKind::aborted);  // this ends with it
     });
     failed_->start(0);
   }
   void deliver(std::string_view) override {}
   void hold(bool) override {}
-  void finish(Ending) override {}
-  bool silence_tells() const override { return flow_.silence_tells(); }
+  void finish(CloseKind) override {}
+  bool timeout_blames_worker() const override { return flow_.timeout_blames_worker(); }
 
  private:
   Flow& flow_;
@@ -61,7 +61,7 @@
 
 // Where addresses are validated at all, a call that has not shown its own may be made up. Only 0-RTT can run
 // before a worker has replied, and nobody can make that up.
-bool Flow::silence_tells() const {
+bool Flow::timeout_blames_worker() const {
   if (validated || front.settings_.retry.mode == RetryMode::never) return true;
   if (!beginning) return true;
   const auto& flight = beginning->flight;
@@ -112,7 +112,7 @@
   ask_to_move();
 }
 
-void Flow::ended(Ending) {
+void Flow::ended(CloseKind) {
   exchange = nullptr;
   done = true;
 }
--- a/src/quic/flow.h
+++ b/src/quic/flow.h
@@ -67,7 +67,7 @@
   void hold(bool) override {}
   // Only the worker can move its client: the connection is its own. It is asked until it says END.
   void redirect() override;
-  void ended(core::Ending) override;
+  void ended(core::CloseKind) override;
 
   // ---- The worker's side.
   std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& to, const std::string& worker,
@@ -77,7 +77,7 @@
   // Whether so much more may go to the client: three times what came in until its address is validated
   // (RFC 9000, 8.1).
   bool may_answer(std::size_t octets);
-  bool silence_tells() const;
+  bool timeout_blames_worker() const;
   bool refused() const { return beginning && !beginning->closing.empty(); }
   bool began_as(std::string_view id) const {
     return first_destination == id || (original && *original == id);
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -10,7 +10,7 @@
 
 namespace marblehub::quic {
 
-using core::Ending;
+using core::CloseKind;
 
 namespace {
 
@@ -33,7 +33,7 @@
       ids_(settings_.ids),
       validation_(settings_.retry),
       reset_(settings_.reset_key, settings_.resets_per_second),
-      request_class_(dispatcher.class_named(settings_.request_class)),
+      request_class_(dispatcher.class_index(settings_.request_class)),
       descriptors_(descriptors),
       listen_(Endpoint::parse(settings_.listen).value_or(Endpoint())),
       fd_(listen_.is_specified() ? listening_socket(listen_) : net::Fd()),
@@ -85,7 +85,7 @@
 Front::~Front() {
   for (auto& [key, flow] : flows_)
     if (core::Exchange* exchange = std::exchange(flow->exchange, nullptr))
-      exchange->client_left(Ending::finished);
+      exchange->client_left(CloseKind::orderly);
 }
 
 void Front::close() { closed_ = true; }
@@ -230,7 +230,7 @@
   flows_.emplace(key, std::move(flow));
   raw->used = now_;
   raw->octets_in = bytes.size();
-  core::Exchange& exchange = dispatcher_.take(call(), *raw, *raw);
+  core::Exchange& exchange = dispatcher_.accept_call(call(), *raw, *raw);
   if (!raw->refused() && !raw->done) raw->exchange = &exchange;  // else it was answered from within
 }
 
@@ -380,7 +380,7 @@
   }
   for (auto& flow : over) {
     if (core::Exchange* exchange = std::exchange(flow->exchange, nullptr))
-      exchange->client_left(Ending::finished);
+      exchange->client_left(CloseKind::orderly);
     remove(*flow);
   }
   while (oldest_ && now - oldest_->used > settings_.idle_timeout) drop_path(*oldest_);
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -14,7 +14,7 @@
  public:
   void deliver(std::string_view) override {}
   void hold(bool) override {}
-  void finish(core::Ending) override {}
+  void finish(core::CloseKind) override {}
 };
 
 }  // namespace
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -7,7 +7,7 @@
 
 namespace marblehub::quic {
 
-using core::Ending;
+using core::CloseKind;
 using core::Outcome;
 
 namespace {
@@ -219,7 +219,7 @@
   Reply reply = answered_by(upstream, *header, bytes, client);
   if (Flow* flow = reply.flow) {
     if (header->type == PacketType::initial && refuses(reply.frames) && flow->exchange)
-      return flow->exchange->worker_ended(Outcome::full, Ending::finished);
+      return flow->exchange->worker_ended(Outcome::full, CloseKind::orderly);
     if (header->type == PacketType::initial) {
       if (ids_.codec().decode(header->source, true)) link(*flow, header->source);
       return establish(*flow, bytes);
@@ -249,7 +249,7 @@
   stop_trying(flow);
   flow.standing = true;
   list_path(*flow.path);
-  flow.exchange->worker_up(bytes);
+  flow.exchange->worker_established(bytes);
 }
 
 // ---- Control messages ------------------------------------------------------------------------------
@@ -276,7 +276,7 @@
       id && !id->empty() && id->size() <= kMaxConnectionIdLength ? named(upstream, client, *id) : nullptr;
   if (!flow) return malformed_.add();
   if (verb == "BUSY" && !flow->standing && flow->exchange) {
-    flow->exchange->worker_ended(Outcome::full, Ending::finished);
+    flow->exchange->worker_ended(Outcome::full, CloseKind::orderly);
   } else if (verb == "LINK" && flow->standing) {
     auto other = unhex(more);
     if (!other || other->size() > kMaxConnectionIdLength || !ids_.codec().decode(*other, true))
@@ -284,7 +284,7 @@
     // Where it had been taken for a connection of its own, it is one no longer.
     if (Flow* twin = linked(*other); twin && twin != flow) {
       if (core::Exchange* exchange = std::exchange(twin->exchange, nullptr))
-        exchange->client_left(Ending::finished);
+        exchange->client_left(CloseKind::orderly);
       twin->done = true;
       std::erase(twin->links, ConnectionId(*other));
       links_.erase(ConnectionId(*other));
@@ -292,12 +292,12 @@
     link(*flow, *other);
   } else if (verb == "END" && flow->standing) {
     flow->moves_left = 0;
-    if (flow->exchange) flow->exchange->worker_ended(Outcome::served, Ending::finished);
+    if (flow->exchange) flow->exchange->worker_ended(Outcome::served, CloseKind::orderly);
     flow->done = true;
   } else if (verb == "LEFT" && flow->standing) {
     left_.add();
     if (core::Exchange* exchange = std::exchange(flow->exchange, nullptr))
-      exchange->client_left(Ending::finished);
+      exchange->client_left(CloseKind::orderly);
     flow->done = true;
   } else {
     malformed_.add();
@@ -307,7 +307,7 @@
 // ---- A worker's port is closed ---------------------------------------------------------------------
 
 void Front::lose(Flow& flow, Outcome outcome) {
-  if (flow.exchange) flow.exchange->worker_ended(outcome, Ending::broken);
+  if (flow.exchange) flow.exchange->worker_ended(outcome, CloseKind::aborted);
 }
 
 void Front::worker_lost(Upstream& upstream) {
--- a/src/remote_write/remote_write.cpp
+++ b/src/remote_write/remote_write.cpp
@@ -153,7 +153,7 @@
   if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parsed != bytes.size()) retry_later();
 }
 
-void RemoteWrite::ended(net::Ending) {
+void RemoteWrite::ended(net::CloseKind) {
   if (in_flight_) return retry_later();
   net::Stream::reset(std::move(stream_));
 }
--- a/src/remote_write/remote_write.h
+++ b/src/remote_write/remote_write.h
@@ -40,7 +40,7 @@
   // net::Stream::Handler
   void connected() override;
   void received(std::string_view bytes) override;
-  void ended(net::Ending ending) override;
+  void ended(net::CloseKind ending) override;
 
  private:
   void collect();  // queues the current metrics
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -11,17 +11,17 @@
 
 struct Leaving : Dispatched {
   using Dispatched::Dispatched;
-  bool still_there() const override { return there; }
+  bool is_connected() const override { return there; }
   core::Exchange& ask() {
     core::Call call;
     call.expires_in = 2500 * kMillisecond;
-    return dispatcher->take(call, *this, *this);
+    return dispatcher->accept_call(call, *this, *this);
   }
   // Failures of attempts: from then on the module has two calls out at once at most.
   void cut_limit() {
     core::Exchange& exchange = ask();
     for (int i = 0; i < startup.settings.max_attempts; ++i)
-      exchange.worker_ended(Outcome::error, core::Ending::finished);
+      exchange.worker_ended(Outcome::error, core::CloseKind::orderly);
     run(5000 * kMillisecond);
     sent.clear();
     refused = 0;
@@ -39,7 +39,7 @@
   d.there = false;
   d.run(300 * kMillisecond);
   CHECK(d.sent.empty());
-  exchange.client_left(core::Ending::finished);
+  exchange.client_left(core::CloseKind::orderly);
   d.there = true;
   d.ask();
   d.run(300 * kMillisecond);
@@ -50,7 +50,7 @@
   Leaving d(Bench::settings(), 1);
   d.cut_limit();
   d.there = false;
-  for (int i = 0; i < 4; ++i) d.ask().client_left(core::Ending::finished);
+  for (int i = 0; i < 4; ++i) d.ask().client_left(core::CloseKind::orderly);
   CHECK(d.sent.empty());
   d.there = true;
   d.ask();
--- a/tests/crossings/streams_test.cpp
+++ b/tests/crossings/streams_test.cpp
@@ -16,7 +16,7 @@
 namespace marblehub::test {
 namespace {
 
-using core::Ending;
+using core::CloseKind;
 using net::Stream;
 
 constexpr int kTurns = 200;                // of the loop; far more than anything here takes
@@ -29,14 +29,14 @@
     if (holds_after_first) stream->read_on(false);
   }
   void drained() override { drained_times += 1; }
-  void ended(Ending how) override {
+  void ended(CloseKind how) override {
     ending = how;
     ended_times += 1;
     left = stream->backlog();
   }
   Stream* stream = nullptr;
   std::string text;
-  Ending ending = Ending::finished;
+  CloseKind ending = CloseKind::orderly;
   int drained_times = 0, ended_times = 0;
   std::size_t left = 0;  // never taken by the system, as told at the end
   bool holds_after_first = false;
@@ -93,7 +93,7 @@
   pair.turns();
   REQUIRE(pair.heard.text == "BUSY\r\n");
   REQUIRE(pair.heard.ended_times == 1);
-  REQUIRE(pair.heard.ending == Ending::broken);
+  REQUIRE(pair.heard.ending == CloseKind::aborted);
 }
 
 TEST_CASE("what a failed write never handed over is left as backlog", "[streams]") {
--- a/tests/drain_grace_test.cpp
+++ b/tests/drain_grace_test.cpp
@@ -35,7 +35,7 @@
   for (Time grace : {0, 50, 120, 250, 500}) {
     INFO("grace of " << grace << " ms");
     Dispatched d(settings_with_grace(grace * kMillisecond), 1);
-    core::Exchange& exchange = d.dispatcher->take(call(), d, d);
+    core::Exchange& exchange = d.dispatcher->accept_call(call(), d, d);
     d.run(100 * kMillisecond);
     REQUIRE(d.sent.size() == 1);
     REQUIRE(exchange.may_begin());
--- a/tests/fleet/service/dispatched.h
+++ b/tests/fleet/service/dispatched.h
@@ -32,7 +32,7 @@
   struct Out : core::Attempt {
     void deliver(std::string_view) override {}
     void hold(bool) override {}
-    void finish(core::Ending) override {}
+    void finish(core::CloseKind) override {}
   };
 
   explicit Dispatched(const Settings& settings, int workers) {
@@ -59,14 +59,14 @@
     probed.push_back(worker);
     probes[worker] += 1;
   }
-  void track() override {}
+  void watch_endpoints() override {}
   void established(std::string_view) override {}
   void overload_reply(Time) override { refused += 1; }
   void failed(std::string_view) override { refused += 1; }
   void deliver(std::string_view) override {}
   void hold(bool) override {}
   void redirect() override { moved += 1; }
-  void ended(core::Ending) override {}
+  void ended(core::CloseKind) override {}
   std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
                                                const std::string&, Time) override {
     sent[exchange.id()] = worker;
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -74,7 +74,7 @@
   s.second(5 * 60);
   CHECK(s.outside() == 0);
   CHECK(s.d.moved == 200);
-  CHECK(s.d.dispatcher->standing() == 200);
+  CHECK(s.d.dispatcher->established_count() == 200);
 }
 
 TEST_CASE("what stops moves for balance stops these, but not that there is no gap") {
