--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -7,8 +7,8 @@
 namespace marblehub::policy::adapter {
 namespace {
 
-using marblehub::config::number_in;
 using marblehub::config::Options;
+using marblehub::config::parse_number;
 using marblehub::config::settings_from;
 
 void append(std::string& reply, std::string_view verb, int instance) {
@@ -47,7 +47,7 @@
   }
   template <class Number>
   Number number(std::string_view what) {
-    std::optional<Number> value = number_in<Number>(text(what));
+    std::optional<Number> value = parse_number<Number>(text(what));
     if (!value || *value < 0) refuse(what);
     return *value;
   }
@@ -55,7 +55,7 @@
   Number number_or_absent(std::string_view what) {
     std::string_view part = text(what);
     if (part == "-") return 0;
-    std::optional<Number> value = number_in<Number>(part);
+    std::optional<Number> value = parse_number<Number>(part);
     if (!value || *value < 0) refuse(what);
     return *value;
   }
@@ -92,7 +92,7 @@
       all = pair.size() < all.size() ? all.substr(pair.size() + 1) : std::string_view();
       std::size_t colon = pair.find(':');
       if (colon == std::string_view::npos) refuse("name:value in the load report");
-      std::optional<double> value = number_in<double>(pair.substr(colon + 1));
+      std::optional<double> value = parse_number<double>(pair.substr(colon + 1));
       if (!value) refuse("a number in the load report");
       if (pair.substr(0, colon) == "x0") report.load = *value;
       if (pair.substr(0, colon) == "cpu") busy = *value;
@@ -260,7 +260,7 @@
                                               {"remembered", EndpointListKind::cached},
                                               {"refused", EndpointListKind::failed}});
     if (e.kind != EndpointListKind::failed) {
-      std::optional<std::size_t> slot = number_in<std::size_t>(slot_text);
+      std::optional<std::size_t> slot = parse_number<std::size_t>(slot_text);
       if (!slot || *slot >= pools_.size() || !pools_[*slot])
         fields.refuse("the number of a pool given before");
       e.entries = pools_[*slot];
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -54,7 +54,8 @@
   if (!text.starts_with('[') || end == std::string_view::npos) return false;
   in6_addr address{};
   std::string host(text.substr(1, end - 1));
-  return inet_pton(AF_INET6, host.c_str(), &address) == 1 && number_in<std::uint16_t>(text.substr(end + 2));
+  return inet_pton(AF_INET6, host.c_str(), &address) == 1 &&
+         parse_number<std::uint16_t>(text.substr(end + 2));
 }
 
 // A worker's, which the QUIC front may reach over IPv6 as well.
@@ -69,7 +70,7 @@
 std::optional<sockaddr_in> parse_address(std::string_view text) {
   std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  std::optional<std::uint16_t> port = number_in<std::uint16_t>(text.substr(colon + 1));
+  std::optional<std::uint16_t> port = parse_number<std::uint16_t>(text.substr(colon + 1));
   sockaddr_in address{};
   address.sin_family = AF_INET;
   if (!port || inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &address.sin_addr) != 1)
@@ -98,13 +99,13 @@
   return Options(std::move(values), std::move(place));
 }
 
-Options options_in(const std::string& path) {
+Options load_options(const std::string& path) {
   auto text = read_file(path);
   if (!text) throw DecodeError("cannot read " + path);
   return flatten(*text, path + ": ");
 }
 
-Options below(const Options& options, std::string_view path, std::string place) {
+Options sub_options(const Options& options, std::string_view path, std::string place) {
   std::string prefix = std::string(path) + ".";
   Values values;
   for (auto it = options.values().lower_bound(prefix);
@@ -171,8 +172,8 @@
       all.refuse("seed", "a hexadecimal number");
   }
   s.sockets = all.number_or<std::int64_t>("limits.sockets", 16, s.sockets);
-  if (all.find("known.snapshot")) s.known = list_from(below(all, "known", "known: "));
-  Options settings = below(all, "settings", "settings: ");
+  if (all.find("known.snapshot")) s.known = list_from(sub_options(all, "known", "known: "));
+  Options settings = sub_options(all, "settings", "settings: ");
   s.settings = settings_from(settings);
   s.longest_deadline = longest_deadline_in(settings);
   if (const std::string* file = all.find("quic")) s.quic_file = *file;
@@ -183,8 +184,8 @@
   return s;
 }
 
-Loaded load_startup(const std::string& path) {
-  Options options = options_in(path);
+LoadedStartup load_startup(const std::string& path) {
+  Options options = load_options(path);
   return {startup_from(options), options.values()};
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -23,10 +23,10 @@
 Options flatten(std::string_view json, std::string place);
 
 // The same for a file, whose path is the place; one that cannot be read is refused.
-Options options_in(const std::string& path);
+Options load_options(const std::string& path);
 
 // The part of the options below `path`, with the path taken off.
-Options below(const Options& options, std::string_view path, std::string place);
+Options sub_options(const Options& options, std::string_view path, std::string place);
 
 struct WorkerEntry {
   marblehub::policy::BackendEntry backend;  // its address is the worker's name: the same at every balancer
@@ -60,11 +60,11 @@
 Startup startup_from(const Options& options);
 
 // A starting file, decoded whole or not at all: what is wrong is thrown with its place and key.
-struct Loaded {
+struct LoadedStartup {
   Startup startup;
   Values values;  // as they stand in the file, to tell what a reload would change
 };
-Loaded load_startup(const std::string& path);
+LoadedStartup load_startup(const std::string& path);
 
 // The keys of a reloaded file that differ from those in force and take a restart to follow.
 std::vector<std::string> needs_restart(const Values& in_force, const Values& reloaded);
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -31,7 +31,7 @@
   if (const std::string* list = options.find("specifics.message_aim_us")) {
     for (std::size_t at = 0; at < list->size();) {
       std::size_t comma = std::min(list->find(',', at), list->size());
-      std::optional<double> aim = number_in<double>(std::string_view(*list).substr(at, comma - at));
+      std::optional<double> aim = parse_number<double>(std::string_view(*list).substr(at, comma - at));
       if (!aim || *aim < 0) options.refuse("specifics.message_aim_us", "numbers, 0 or more");
       aims.push_back(*aim);
       at = comma + 1;
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -34,7 +34,7 @@
 };
 
 template <class Number>
-std::optional<Number> number_in(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
   Number value{};
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
@@ -69,7 +69,7 @@
   }
   template <class Number>
   Number number(std::string_view key, Number least) const {
-    std::optional<Number> value = number_in<Number>(text(key));
+    std::optional<Number> value = parse_number<Number>(text(key));
     if (!value || *value < least) refuse(key, "a number, " + std::to_string(least) + " or more");
     return *value;
   }
--- a/src/fleet/service/files.cpp
+++ b/src/fleet/service/files.cpp
@@ -38,7 +38,7 @@
     check_routes(files, startup);
   }
   if (!s.wallet_file.empty())
-    files.wallet = wallet_settings_from(config::options_in(s.wallet_file), class_names(startup));
+    files.wallet = wallet_settings_from(config::load_options(s.wallet_file), class_names(startup));
   return files;
 }
 
--- a/src/fleet/settings/settings.cpp
+++ b/src/fleet/settings/settings.cpp
@@ -21,7 +21,7 @@
 Time milliseconds(const Options& options, const char* key, Time min, Time max, Time absent) {
   const std::string* text = options.find(key);
   if (!text) return absent;
-  auto value = config::number_in<double>(*text);
+  auto value = config::parse_number<double>(*text);
   if (!value || *value * kMillisecond < static_cast<double>(min) ||
       *value * kMillisecond > static_cast<double>(max))
     options.refuse(key, "a number of milliseconds from " + std::to_string(min / kMillisecond) + " to " +
@@ -136,7 +136,7 @@
         options.choice<WhenAlone>("when_alone", {{"stop", WhenAlone::stop}, {"keep", WhenAlone::keep}});
   s.routes_file = text_or_empty(options, "routes_file");
   s.wallet_file = text_or_empty(options, "wallet_file");
-  Options via = config::below(options, "via", "");
+  Options via = config::sub_options(options, "via", "");
   for (const auto& [name, address] : via.values()) {
     std::string key = "via." + name;
     check_address(options, key.c_str(), via.text(name));
--- a/src/fleet/wallet/file_journal.cpp
+++ b/src/fleet/wallet/file_journal.cpp
@@ -60,7 +60,7 @@
   std::string_view payload = text.substr(9);
   std::size_t first_space = payload.find(' '), last_space = payload.rfind(' ');
   if (first_space == std::string_view::npos || first_space == last_space) return false;
-  auto spent = config::number_in<std::int64_t>(payload.substr(last_space + 1));
+  auto spent = config::parse_number<std::int64_t>(payload.substr(last_space + 1));
   if (!spent || *spent < 0) return false;
   into = {percent_decode(payload.substr(0, first_space)),
           percent_decode(payload.substr(first_space + 1, last_space - first_space - 1)), *spent};
--- a/src/fleet/wallet/settings.cpp
+++ b/src/fleet/wallet/settings.cpp
@@ -11,7 +11,7 @@
 using config::Options;
 
 std::int64_t units(const Options& options, const std::string& key, std::int64_t min) {
-  auto value = config::number_in<std::int64_t>(options.text(key));
+  auto value = config::parse_number<std::int64_t>(options.text(key));
   if (!value || *value < min || *value > kMostUnits)
     options.refuse(key, fmt::format("whole units, {} to 2^53", min));
   return *value;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -53,7 +53,7 @@
 
 class Program {
  public:
-  Program(std::string path, config::Loaded loaded)
+  Program(std::string path, config::LoadedStartup loaded)
       : path_(std::move(path)),
         startup_(std::move(loaded.startup)),
         values_(std::move(loaded.values)),
@@ -129,7 +129,7 @@
   // A file that may be absent: then what it would turn on is off.
   static std::optional<config::Options> optional_file(const std::string& path) {
     if (!std::filesystem::exists(path)) return std::nullopt;
-    return config::options_in(path);
+    return config::load_options(path);
   }
 
   static log::Level log_level(const config::Startup& startup) {
@@ -215,7 +215,7 @@
   // SIGHUP. The file is taken whole or not at all, and no connection or call is touched.
   void reload() {
     try {
-      config::Loaded loaded = config::load_startup(path_);
+      config::LoadedStartup loaded = config::load_startup(path_);
       // All files are taken or none: what may be refused comes before anything is followed.
       auto quic = quic_settings(loaded.startup);
       auto rebalance = rebalance_settings(loaded.startup);
--- a/src/model/scenario.cpp
+++ b/src/model/scenario.cpp
@@ -45,7 +45,7 @@
     throw DecodeError(place_ + ":" + std::to_string(number_) + ": " + what);
   }
   double number(const std::string& word) const {
-    auto value = config::number_in<double>(word);
+    auto value = config::parse_number<double>(word);
     if (!value) refuse("expected a number, not '" + word + "'");
     return *value;
   }
@@ -207,7 +207,7 @@
     s.wave_period = std::max<Time>(kSecond, ms("wave.period_ms", 60000));
     s.slo = ms("clients.slo_ms", 500);
     s.aim = ms("clients.aim_ms", 150);
-    s.rebalance = rebalance::settings_from(config::below(o, "rebalance", place_ + ": rebalance: "));
+    s.rebalance = rebalance::settings_from(config::sub_options(o, "rebalance", place_ + ": rebalance: "));
     if (std::vector<std::string> unread = o.unread(); !unread.empty())
       o.refuse(unread.front(), "no such key");
     for (auto& [h, line] : happenings_) {
--- a/src/net/lines.cpp
+++ b/src/net/lines.cpp
@@ -85,12 +85,13 @@
     if (name == "at") opening.worker = value;
     if (name == "again") opening.again = value == "1";
     if (name == "d") {
-      auto wait = config::number_in<std::int64_t>(value);  // neither nan, inf nor more than a time can hold
+      auto wait =
+          config::parse_number<std::int64_t>(value);  // neither nan, inf nor more than a time can hold
       if (!wait || *wait < 0) return std::nullopt;
       opening.wait_ms = *wait;
     }
     if (name == "h") {
-      auto load = config::number_in<double>(value);
+      auto load = config::parse_number<double>(value);
       if (!load || *load < 0) return std::nullopt;
       opening.load_hint = *load;
     }
@@ -106,7 +107,7 @@
   core::LoadReport report;
   auto figure = [&](std::string_view name) -> double {
     auto text = field(line, name);
-    auto value = text ? config::number_in<double>(*text) : std::nullopt;
+    auto value = text ? config::parse_number<double>(*text) : std::nullopt;
     return value && *value >= 0 ? *value : -1;
   };
   report.load = figure("x0");
--- a/src/net/worker_side.cpp
+++ b/src/net/worker_side.cpp
@@ -140,7 +140,7 @@
   void load_told(std::string_view line) {
     line = without_end(line);
     if (line.size() <= 5) return;
-    if (auto load = config::number_in<double>(line.substr(5))) exchange_->worker_load(*load);
+    if (auto load = config::parse_number<double>(line.substr(5))) exchange_->worker_load(*load);
   }
 
   void over(Outcome outcome, CloseKind ending, const core::LoadReport& report = {},
--- a/src/quic/endpoint.cpp
+++ b/src/quic/endpoint.cpp
@@ -50,7 +50,7 @@
 std::optional<Endpoint> Endpoint::parse(std::string_view text) {
   std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  auto port = config::number_in<std::uint16_t>(text.substr(colon + 1));
+  auto port = config::parse_number<std::uint16_t>(text.substr(colon + 1));
   std::string host(text.substr(0, colon));
   if (!port || *port == 0) return std::nullopt;
   char octets[16];
--- a/src/rebalance/settings.cpp
+++ b/src/rebalance/settings.cpp
@@ -12,8 +12,9 @@
 // Parses hh:mm into the minute of the day.
 int minute_of_day(const Options& options, const char* key) {
   const std::string& text = options.text(key);
-  auto hours = text.size() == 5 && text[2] == ':' ? config::number_in<int>(text.substr(0, 2)) : std::nullopt;
-  auto minutes = hours ? config::number_in<int>(text.substr(3)) : std::nullopt;
+  auto hours =
+      text.size() == 5 && text[2] == ':' ? config::parse_number<int>(text.substr(0, 2)) : std::nullopt;
+  auto minutes = hours ? config::parse_number<int>(text.substr(3)) : std::nullopt;
   if (!minutes || *hours < 0 || *hours > 23 || *minutes < 0 || *minutes > 59)
     options.refuse(key, "a time of day as hh:mm, UTC");
   return *hours * 60 + *minutes;
--- a/tests/fleet/processes/node_main.cpp
+++ b/tests/fleet/processes/node_main.cpp
@@ -14,7 +14,7 @@
 
 int serve(const std::string& file) {
   fleet::NodeParts parts;
-  parts.settings = fleet::settings_from(config::options_in(file), "n0");
+  parts.settings = fleet::settings_from(config::load_options(file), "n0");
   net::Loop loop;
   metrics::Registry metrics;
   parts.incarnation = fleet::new_incarnation(parts.settings.data, fleet::fleet_clock(loop));
--- a/tests/fleet/processes/settings_test.cpp
+++ b/tests/fleet/processes/settings_test.cpp
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("the file as shipped is off and sound") {
-  Settings s = fleet::settings_from(config::options_in(MARBLEHUB_SOURCE "/deploy/fleet.json"), "n0");
+  Settings s = fleet::settings_from(config::load_options(MARBLEHUB_SOURCE "/deploy/fleet.json"), "n0");
   CHECK_FALSE(s.enabled);
   CHECK(s.name == "n0");
 }
--- a/tests/fleet/wallet/settings_test.cpp
+++ b/tests/fleet/wallet/settings_test.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 TEST_CASE("The shipped wallet file has no deposits and no prices", "[wallet]") {
-  WalletSettings s = wallet_settings_from(config::options_in(MARBLEHUB_SOURCE "/deploy/wallet.json"));
+  WalletSettings s = wallet_settings_from(config::load_options(MARBLEHUB_SOURCE "/deploy/wallet.json"));
   CHECK(s.deposits.empty());
   CHECK(s.prices.empty());
   CHECK(s.unknown_served);
