--- a/src/fleet/record/command.cpp
+++ b/src/fleet/record/command.cpp
@@ -26,7 +26,7 @@
 
 std::string change(Ledger& ledger, const CommandId&, const ProposeRoutes& body) {
   RouteState& routes = ledger.routes;
-  if (routes.next != 0 && body.at >= routes.moment) settle(routes);
+  if (routes.next != 0 && body.at >= routes.activation_time) settle(routes);
   if (body.version == 0) return "version 0 is no version";
   if (body.text.size() > kLongestTable) return numbered(body.version) + " is over 262144 octets";
   if (body.members.empty()) return numbered(body.version) + " names no member";
@@ -34,13 +34,14 @@
     if (body.version <= standing) return numbered(body.version) + " is not above " + std::to_string(standing);
   const std::uint64_t text = hash_of(body.text);
   // A yes to the same number but to another text may still be on its way.
-  if (body.version < routes.newest)
-    return numbered(body.version) + " is not above " + std::to_string(routes.newest) + ", proposed before";
-  if (body.version == routes.newest && text != routes.newest_text)
+  if (body.version < routes.max_proposed)
+    return numbered(body.version) + " is not above " + std::to_string(routes.max_proposed) +
+           ", proposed before";
+  if (body.version == routes.max_proposed && text != routes.max_proposed_hash)
     return numbered(body.version) + " was proposed with another table: take a higher number";
   if (routes.staged != 0) unstage(routes, "replaced by " + numbered(body.version));
-  routes.newest = routes.staged = body.version;
-  routes.newest_text = text;
+  routes.max_proposed = routes.staged = body.version;
+  routes.max_proposed_hash = text;
   routes.staged_text = body.text;
   routes.waited_for = {body.members.begin(), body.members.end()};
   return {};
@@ -64,10 +65,10 @@
     return numbered(body.version) + " waits for " + *routes.waited_for.begin() + " and " +
            std::to_string(routes.waited_for.size() - 1) + " more";
   if (routes.next != 0) return "the moment of " + numbered(routes.next) + " is not over";
-  if (body.moment <= routes.moment) return "its moment is not after the last one";
+  if (body.activation_time <= routes.activation_time) return "its moment is not after the last one";
   routes.next = routes.staged;
   routes.next_text = std::move(routes.staged_text);
-  routes.moment = body.moment;
+  routes.activation_time = body.activation_time;
   routes.staged = 0;
   routes.staged_text.clear();
   return {};
@@ -201,7 +202,7 @@
 [[maybe_unused]] bool ordered(const RouteState& routes) {
   return (routes.next == 0 || routes.next > routes.in_force) &&
          (routes.staged == 0 || routes.staged > std::max(routes.in_force, routes.next)) &&
-         (routes.staged != 0 || routes.waited_for.empty()) && routes.newest >= routes.staged;
+         (routes.staged != 0 || routes.waited_for.empty()) && routes.max_proposed >= routes.staged;
 }
 
 }  // namespace
--- a/src/fleet/record/command.h
+++ b/src/fleet/record/command.h
@@ -40,7 +40,7 @@
 // while an earlier activation's moment is not over (RouteState::next is set): wait, then send another.
 struct ActivateRoutes {
   std::uint64_t version = 0;
-  Time moment = 0;
+  Time activation_time = 0;
 };
 struct AbortRoutes {
   std::uint64_t version = 0;
@@ -97,12 +97,13 @@
 struct RouteState {
   std::uint64_t in_force = 0, staged = 0;  // 0: none
   std::string text, staged_text;           // the whole tables
-  Time moment = 0;                         // of in_force, or of `next` while that is ahead
+  Time activation_time = 0;                // of in_force, or of `next` while that is ahead
   std::uint64_t next = 0;                  // activated, its moment recorded
   std::string next_text;
-  std::set<std::string> waited_for;           // members that have not said yes to `staged`
-  std::string last_refusal;                   // why the last activation was aborted, with its version
-  std::uint64_t newest = 0, newest_text = 0;  // highest version ever proposed, and its text's hash
+  std::set<std::string> waited_for;  // members that have not said yes to `staged`
+  std::string last_refusal;          // why the last activation was aborted, with its version
+  std::uint64_t max_proposed = 0,
+                max_proposed_hash = 0;  // highest version ever proposed, and its text's hash
 };
 
 struct Slice {
--- a/src/fleet/record/command_octets.cpp
+++ b/src/fleet/record/command_octets.cpp
@@ -17,7 +17,7 @@
     move(body.version, table.version), move(body.member, table.member), move(body.refusal, table.text);
     move(body.given_up, table.flag);
   } else if constexpr (std::is_same_v<Kind, ActivateRoutes>) {
-    move(body.version, table.version), move(body.moment, table.at);
+    move(body.version, table.version), move(body.activation_time, table.at);
   } else if constexpr (std::is_same_v<Kind, AbortRoutes>) {
     move(body.version, table.version), move(body.reason, table.text);
   } else if constexpr (std::is_same_v<Kind, Deposit>) {
@@ -86,9 +86,9 @@
   table.applied = ledger.applied;
   table.in_force = routes.in_force, table.staged = routes.staged, table.next = routes.next;
   table.text = routes.text, table.staged_text = routes.staged_text, table.next_text = routes.next_text;
-  table.moment = routes.moment, table.last_refusal = routes.last_refusal;
+  table.activation_time = routes.activation_time, table.last_refusal = routes.last_refusal;
   table.waited_for = {routes.waited_for.begin(), routes.waited_for.end()};
-  table.newest = routes.newest, table.newest_text = routes.newest_text;
+  table.max_proposed = routes.max_proposed, table.max_proposed_hash = routes.max_proposed_hash;
   table.voters = ledger.voters;
   for (const auto& [name, wallet] : ledger.wallets) {
     auto& row = *table.wallets.emplace_back(std::make_unique<fb::WalletT>());
@@ -124,9 +124,9 @@
   into.applied = table.applied;
   routes.in_force = table.in_force, routes.staged = table.staged, routes.next = table.next;
   routes.text = table.text, routes.staged_text = table.staged_text, routes.next_text = table.next_text;
-  routes.moment = table.moment, routes.last_refusal = table.last_refusal;
+  routes.activation_time = table.activation_time, routes.last_refusal = table.last_refusal;
   routes.waited_for = {table.waited_for.begin(), table.waited_for.end()};
-  routes.newest = table.newest, routes.newest_text = table.newest_text;
+  routes.max_proposed = table.max_proposed, routes.max_proposed_hash = table.max_proposed_hash;
   into.voters = table.voters;
   for (const auto& row : table.wallets) {
     Wallet& wallet = into.wallets[row->name];
--- a/src/fleet/record/commands.cpp
+++ b/src/fleet/record/commands.cpp
@@ -53,7 +53,8 @@
     const std::uint64_t turn = command.id.incarnation == last.incarnation ? last.number + 1 : 1;
     if (command.id.number != turn) continue;
     if (auto* activate = std::get_if<ActivateRoutes>(&command.body))
-      activate->moment = std::max(activate->moment, now + settings.lease + 2 * settings.clock_bound);
+      activate->activation_time =
+          std::max(activate->activation_time, now + settings.lease + 2 * settings.clock_bound);
     if (auto* change = std::get_if<ChangeVoters>(&command.body)) {
       // It binds from here on, before it is agreed: so it must be one that will be applied as it stands, and
       // the one before it agreed, in this leader's term.
@@ -103,7 +104,7 @@
 
 void Record::State::keep_house(Time now, Outbox& out) {
   const RouteState& routes = ledger.routes;
-  if (routes.next == 0 || now < routes.moment + settings.clock_bound || !pending.empty()) return;
+  if (routes.next == 0 || now < routes.activation_time + settings.clock_bound || !pending.empty()) return;
   propose(now, SettleRoutes{routes.next}, out);
 }
 
--- a/src/fleet/record/learning.cpp
+++ b/src/fleet/record/learning.cpp
@@ -23,7 +23,7 @@
   if (!grant) return;
   auto lease = std::make_unique<fb::LeaseT>();
   lease->version = grant->version, lease->next = grant->next;
-  lease->until = grant->until, lease->moment = grant->moment;
+  lease->until = grant->until, lease->activation_time = grant->activation_time;
   if (grant_term != message.term || grant_beat != message.beat)
     lease->term = grant_term, lease->beat = grant_beat;
   message.lease = std::move(lease);
@@ -35,7 +35,7 @@
     const std::pair granted = lease.term != 0 ? std::pair(lease.term, lease.beat)  //
                                               : std::pair(message.term, message.beat);
     if (granted > std::pair(grant_term, static_cast<std::int64_t>(grant_beat))) {
-      grant = Grant{lease.version, lease.next, lease.until, lease.moment};
+      grant = Grant{lease.version, lease.next, lease.until, lease.activation_time};
       grant_term = granted.first;
       grant_beat = granted.second;
     }
@@ -122,8 +122,8 @@
   std::erase_if(learners, [&](const auto& named) {
     return now - named.second.heard > kForget * pulse || votes(named.first);
   });
-  const bool turned = grant && std::tie(grant->version, grant->next, grant->moment) != turn_told;
-  if (turned) turn_told = {grant->version, grant->next, grant->moment};
+  const bool turned = grant && std::tie(grant->version, grant->next, grant->activation_time) != turn_told;
+  if (turned) turn_told = {grant->version, grant->next, grant->activation_time};
   for (auto& [name, learner] : learners) {
     if (learner.have < log.base()) continue;  // a snapshot goes on by its own answers
     const bool due = now - learner.told >= kGrant * pulse - pulse / 2;
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -50,7 +50,7 @@
 // from `moment` on where that is set. By the leader's clock; a holder keeps clock_bound away from both ends.
 struct Grant {
   std::uint64_t version = 0, next = 0;
-  Time until = 0, moment = 0;
+  Time until = 0, activation_time = 0;
 };
 
 enum class Role { follower, candidate, leader, observer };  // an observer does not vote
--- a/src/fleet/record/replication.cpp
+++ b/src/fleet/record/replication.cpp
@@ -199,12 +199,13 @@
       now - contact_of_majority(now) >= election_timeout - settings.clock_bound)
     return;
   const RouteState& routes = ledger.routes;
-  if (routes.next == 0 && now < routes.moment + settings.clock_bound) return;
-  Grant fresh{routes.in_force, routes.next, now + settings.lease, routes.next != 0 ? routes.moment : Time{0}};
+  if (routes.next == 0 && now < routes.activation_time + settings.clock_bound) return;
+  Grant fresh{routes.in_force, routes.next, now + settings.lease,
+              routes.next != 0 ? routes.activation_time : Time{0}};
   for (std::uint64_t index = ledger.applied + 1; index <= log.last(); ++index) {
     const auto& command = log.at(index).command;
     const auto* activate = command ? std::get_if<ActivateRoutes>(&command->body) : nullptr;
-    if (activate != nullptr) fresh.until = std::min(fresh.until, activate->moment);
+    if (activate != nullptr) fresh.until = std::min(fresh.until, activate->activation_time);
   }
   if (fresh.until <= now) return;
   grant = fresh;
--- a/src/fleet/routes/driver.cpp
+++ b/src/fleet/routes/driver.cpp
@@ -39,10 +39,11 @@
 
 // Why `version` with these words cannot be proposed; empty: it can, or it is what stands on record already.
 std::string stands_against(const RouteState& routes, std::uint64_t version, const std::string& text) {
-  const std::uint64_t newest = std::max({routes.in_force, routes.next, routes.newest});
+  const std::uint64_t newest = std::max({routes.in_force, routes.next, routes.max_proposed});
   const std::string* recorded = text_of(routes, version);
   if (version > newest || (recorded && *recorded == text)) return {};
-  if (version == routes.newest && hash_of(text) == routes.newest_text) return {};  // aborted before: again
+  if (version == routes.max_proposed && hash_of(text) == routes.max_proposed_hash)
+    return {};  // aborted before: again
   return "above " + std::to_string(newest) + ", which was proposed before";
 }
 
@@ -137,7 +138,7 @@
   if (routes.staged != driven_ || routes.staged_text != driven_text_) {
     // Over: activated, aborted, or a newer one took its place. Or not applied yet: while no majority takes
     // it the record keeps it, so this one must still be there to end it when it comes.
-    if (seen_staged_ || routes.newest > driven_)
+    if (seen_staged_ || routes.max_proposed > driven_)
       driven_ = 0, driven_text_.clear();
     else if (now < over)
       due_at(over);
--- a/src/fleet/routes/lease.cpp
+++ b/src/fleet/routes/lease.cpp
@@ -63,7 +63,7 @@
   // A step back within the bound: the later of the two moments, at which less is allowed.
   const Time at = stepped_ ? now : seen_ = std::max(seen_, now);
   const Grant& g = *grant_;
-  const std::uint64_t version = g.next != 0 && at >= g.moment ? g.next : g.version;
+  const std::uint64_t version = g.next != 0 && at >= g.activation_time ? g.next : g.version;
   Judged judged{false, std::max(version, newest_), ""};
   // A leader grants to itself: after a step that says nothing until another's clock is heard.
   if (stepped_ || watch_.unheard())
--- a/src/fleet/routes/routes.cpp
+++ b/src/fleet/routes/routes.cpp
@@ -47,8 +47,8 @@
   Driver driver;
   std::map<std::uint64_t, std::unique_ptr<Held>> held;
   std::uint64_t in_force = 0, next = 0, newest_placed = 0, current = 0;
-  Time moment = 0;  // of `next`
-  Time turn = 0;    // the moment still ahead, by the last step; 0: none
+  Time activation_time = 0;  // of `next`
+  Time turn = 0;             // the moment still ahead, by the last step; 0: none
   std::uint64_t spread = 0;
   const char* why = "";
   Counts counts;
@@ -67,7 +67,8 @@
   if (judged.held) why = "does not hold the version in force yet";
   if (settings.when_alone == WhenAlone::keep) {
     // The newest that it knows of, by its own clock: agreement is given up, so none is claimed.
-    std::uint64_t version = std::max({judged.version, in_force, next != 0 && now >= moment ? next : 0});
+    std::uint64_t version =
+        std::max({judged.version, in_force, next != 0 && now >= activation_time ? next : 0});
     if (!find(version)) {
       auto it = held.lower_bound(version);
       while (it != held.begin() && !std::prev(it)->second) --it;
@@ -130,10 +131,10 @@
   s.drop_old();
   s.in_force = routes.in_force;
   s.next = routes.next;
-  s.moment = routes.moment;
+  s.activation_time = routes.activation_time;
   if (std::optional<Grant> grant = record.grant()) s.lease.granted(now, *grant);
   s.driver.step(now, record, alive, out);
-  s.turn = routes.next != 0 && now < routes.moment ? routes.moment : 0;
+  s.turn = routes.next != 0 && now < routes.activation_time ? routes.activation_time : 0;
   s.current = s.lease.judge(now).version;
   MARBLEHUB_INVARIANT("routes", routes.next == 0 || routes.next > routes.in_force,
                       "the next version is not newer");
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -56,7 +56,7 @@
       m.leader = "boris";
       m.lease = std::make_unique<fb::LeaseT>();
       m.lease->version = 1, m.lease->next = 2, m.lease->term = term, m.lease->beat = m.beat;
-      m.lease->until = m.beat + 600 * kMillisecond, m.lease->moment = m.beat + 100 * kMillisecond;
+      m.lease->until = m.beat + 600 * kMillisecond, m.lease->activation_time = m.beat + 100 * kMillisecond;
       if (kind == kAppend || kind == kLearnt)
         for (const std::string& command : commands()) {
           auto& entry = *m.entries.emplace_back(std::make_unique<fb::EntryT>());
--- a/tests/fleet/record/cluster.h
+++ b/tests/fleet/record/cluster.h
@@ -119,8 +119,8 @@
     const auto grant = member.record->grant();
     if (!grant || own >= grant->until - member.settings.clock_bound) return 0;
     if (grant->next == 0) return grant->version;
-    if (own >= grant->moment) return grant->next;
-    return own < grant->moment - member.settings.clock_bound ? grant->version : 0;
+    if (own >= grant->activation_time) return grant->next;
+    return own < grant->activation_time - member.settings.clock_bound ? grant->version : 0;
   }
   void check_leases() {
     for (auto& [name, member] : members) {
--- a/tests/fleet/record/command_test.cpp
+++ b/tests/fleet/record/command_test.cpp
@@ -57,7 +57,7 @@
   CHECK(book.by(SettleRoutes{3}).empty());
   CHECK(routes.in_force == 3);
   CHECK(routes.text == "three");
-  CHECK(routes.moment == 900);
+  CHECK(routes.activation_time == 900);
   CHECK(book.by(ActivateRoutes{4, 900}) == "its moment is not after the last one");
   CHECK(book.by(ActivateRoutes{4, 2000}).empty());
   CHECK(book.by(ProposeRoutes{5, "five", {"b1"}, 2000}).empty());  // shows that 4's moment is past
@@ -212,6 +212,6 @@
   CHECK(back.wallets["w"].out["s9"].until == 4);
   CHECK(back.wallets["w"].held_back["s8"] == 2);
   CHECK(back.last["a"].number == number);
-  back.routes.newest_text ^= 1;
+  back.routes.max_proposed_hash ^= 1;
   CHECK(digest(back) != digest(ledger));
 }
--- a/tests/fleet/record/record_test.cpp
+++ b/tests/fleet/record/record_test.cpp
@@ -171,7 +171,7 @@
   cluster.propose("o0", yes);
   ActivateRoutes activate;
   activate.version = 1;
-  activate.moment = cluster.now;  // too early: the leader moves it up
+  activate.activation_time = cluster.now;  // too early: the leader moves it up
   const Time asked = cluster.now;
   cluster.propose("o0", activate);
   cluster.run(300 * kMillisecond);
@@ -179,9 +179,9 @@
   for (auto& [name, member] : cluster.members) {
     const RouteState& routes = member.record->ledger().routes;
     CHECK(routes.next == 1);
-    CHECK(routes.moment >= asked + settings.lease + 2 * settings.clock_bound);
+    CHECK(routes.activation_time >= asked + settings.lease + 2 * settings.clock_bound);
     CHECK(member.record->grant()->next == 1);
-    CHECK(member.record->grant()->moment == routes.moment);
+    CHECK(member.record->grant()->activation_time == routes.activation_time);
   }
   cluster.run(kSecond);
   for (auto& [name, member] : cluster.members) {
@@ -209,7 +209,7 @@
   cluster.propose(name, yes);
   ActivateRoutes now;
   now.version = version;
-  now.moment = table.at;
+  now.activation_time = table.at;
   cluster.propose(name, now);
 }
 
--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -59,7 +59,7 @@
   Begun w;
   w.offer("m5", table(2));
   w.until([&] { return w.agreed_routes().next == 2; });
-  w.until([&] { return w.record.now >= w.agreed_routes().moment - 5 * kMillisecond; });
+  w.until([&] { return w.record.now >= w.agreed_routes().activation_time - 5 * kMillisecond; });
   w.kill("m5");
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
@@ -73,7 +73,8 @@
       Begun w(seed);
       w.offer("m5", table(2));
       w.until([&] { return phase == 0 ? w.agreed_routes().staged == 2 : w.agreed_routes().next == 2; });
-      if (phase == 2) w.until([&] { return w.record.now >= w.agreed_routes().moment - 5 * kMillisecond; });
+      if (phase == 2)
+        w.until([&] { return w.record.now >= w.agreed_routes().activation_time - 5 * kMillisecond; });
       w.kill(w.record.leader);
       w.run(8 * kSecond);
       CHECK(w.all_place_by(w.agreed_routes().in_force));
@@ -258,9 +259,9 @@
   w.offer("m5", table(2));
   w.members.at("m5").side = 1;  // its words wait at it
   w.run(w.record.settings.stage + kSecond);
-  CHECK(w.agreed_routes().newest == 1);
+  CHECK(w.agreed_routes().max_proposed == 1);
   w.members.at("m5").side = 0;
-  w.until([&] { return w.agreed_routes().newest == 2; });
+  w.until([&] { return w.agreed_routes().max_proposed == 2; });
   w.until([&] { return w.agreed_routes().staged == 0; }, kSecond);
   CHECK(w.agreed_routes().last_refusal.find("recorded after its time only") != std::string::npos);
   w.run(100 * kMillisecond);  // all have heard of it
--- a/tests/fleet/routes/agreed.cpp
+++ b/tests/fleet/routes/agreed.cpp
@@ -75,18 +75,18 @@
   auto last = ledger.last.find(command.id.sender);
   if (known(command.id) || (last != ledger.last.end() && command.id <= last->second)) return;
   if (auto* activate = std::get_if<ActivateRoutes>(&command.body))
-    activate->moment =
-        std::max(activate->moment, clock_of(leader) + settings.lease + 2 * settings.clock_bound);
+    activate->activation_time =
+        std::max(activate->activation_time, clock_of(leader) + settings.lease + 2 * settings.clock_bound);
   log.push_back({std::move(command), now + between(2 * delay_least, 2 * delay_most)});
 }
 
 std::optional<Grant> Agreed::grant() const {
   const Time clock = clock_of(leader);
   const RouteState& r = ledger.routes;
-  Grant g{r.in_force, r.next, clock + settings.lease, r.moment};
+  Grant g{r.in_force, r.next, clock + settings.lease, r.activation_time};
   for (std::size_t i = committed; i < log.size(); ++i)  // appended: grants of what stands end before it
     if (auto* a = std::get_if<ActivateRoutes>(&log[i].command.body); a && r.next == 0)
-      g.until = std::min(g.until, a->moment);
+      g.until = std::min(g.until, a->activation_time);
   return g;
 }
 
@@ -112,7 +112,7 @@
       apply(ledger, committed, log[committed - 1].command);
     }
     const RouteState& r = ledger.routes;
-    if (r.next != 0 && clock_of(leader) >= r.moment + settings.clock_bound) {
+    if (r.next != 0 && clock_of(leader) >= r.activation_time + settings.clock_bound) {
       auto it = ledger.last.find("settler");
       append({{"settler", 1, it == ledger.last.end() ? 1 : it->second.number + 1}, SettleRoutes{r.next}});
     }
--- a/tests/fleet/routes/lease_test.cpp
+++ b/tests/fleet/routes/lease_test.cpp
@@ -9,8 +9,8 @@
 struct Fixture {
   Lease lease{Settings{}};
   Time now = kStart;
-  void grant(std::uint64_t version, std::uint64_t next = 0, Time moment = 0) {
-    lease.granted(now, {version, next, now + kLease, moment});
+  void grant(std::uint64_t version, std::uint64_t next = 0, Time activation_time = 0) {
+    lease.granted(now, {version, next, now + kLease, activation_time});
   }
 };
 }  // namespace
@@ -29,12 +29,12 @@
 
 TEST_CASE("the moment decides the version, by the holder's clock") {
   Fixture f;
-  const Time moment = f.now + 100 * kMillisecond;
-  f.grant(1, 2, moment);
-  CHECK(f.lease.judge(moment - 1).version == 1);
-  CHECK(f.lease.judge(moment).version == 2);
-  CHECK(f.lease.judge(moment - 1).version == 2);  // within the bound: it does not go back
-  CHECK(f.lease.judge(moment).held);
+  const Time activation_time = f.now + 100 * kMillisecond;
+  f.grant(1, 2, activation_time);
+  CHECK(f.lease.judge(activation_time - 1).version == 1);
+  CHECK(f.lease.judge(activation_time).version == 2);
+  CHECK(f.lease.judge(activation_time - 1).version == 2);  // within the bound: it does not go back
+  CHECK(f.lease.judge(activation_time).held);
 }
 
 TEST_CASE("a grant of an older version that comes late is not taken") {
@@ -65,16 +65,16 @@
 
 TEST_CASE("a clock that was ahead and is put back fences rather than place by the version before") {
   Fixture f;
-  const Time moment = f.now + 200 * kMillisecond;
-  f.grant(1, 2, moment);
+  const Time activation_time = f.now + 200 * kMillisecond;
+  f.grant(1, 2, activation_time);
   CHECK(f.lease.judge(f.now + 300 * kMillisecond).version == 2);  // ahead, and not found yet
   CHECK_FALSE(f.lease.judge(f.now).held);                         // put back
   f.now += kMillisecond;
-  f.grant(1, 2, moment);
+  f.grant(1, 2, activation_time);
   CHECK_FALSE(f.lease.judge(f.now).held);
   CHECK(f.lease.judge(f.now).version == 2);  // what it knows of is not forgotten
-  CHECK(f.lease.judge(moment).held);
-  CHECK(f.lease.judge(moment).version == 2);
+  CHECK(f.lease.judge(activation_time).held);
+  CHECK(f.lease.judge(activation_time).version == 2);
 }
 
 TEST_CASE(
--- a/tests/fleet/routes/node_test.cpp
+++ b/tests/fleet/routes/node_test.cpp
@@ -59,7 +59,7 @@
     Begun w;
     w.offer("m5", table(2));
     w.until([&] { return (late ? w.seen("m3").next : w.seen("m3").staged) == 2; });
-    if (late) w.until([&] { return w.now >= w.seen("m3").moment - 4 * kMillisecond; });
+    if (late) w.until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
     w.kill("m5");
     w.run(6 * kSecond);
     w.all_by(late ? 2 : 1, 8);
@@ -74,7 +74,7 @@
       Begun w(seed);
       w.offer("m5", table(2));
       w.until([&] { return (phase ? w.seen("m3").next : w.seen("m3").staged) == 2; });
-      if (phase == 2) w.until([&] { return w.now >= w.seen("m3").moment - 4 * kMillisecond; });
+      if (phase == 2) w.until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
       const std::string leader = w.leader();
       w.kill(leader);
       w.run(8 * kSecond);
