--- a/bench/fleet_wallet.cpp
+++ b/bench/fleet_wallet.cpp
@@ -32,7 +32,7 @@
   fleet.name = "b1";
   WalletSettings settings;
   settings.prices = {{"telemetry", 2}, {"unlock", 5}};
-  settings.max_held_back = kMostUnits;
+  settings.max_held_back = kMaxUnits;
   std::vector<std::string> tenants;
   for (int i = 0; i < 200; ++i) {
     tenants.push_back(fmt::format("partner-{}", i));
--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -69,7 +69,7 @@
     propose(TakeSlice{"acme", "s2", "boris", 1, 10, kStart});
     propose(LapseSlice{"acme", "s2"});
     propose(ProposeRoutes{1, "t", {"boris"}, kStart});
-    propose(StagedRoutes{1, "boris", "", false});
+    propose(AnswerRoutes{1, "boris", "", false});
     propose(ActivateRoutes{1, kStart + kSecond});
     return l;
   }();
--- a/src/fleet/record/command.cpp
+++ b/src/fleet/record/command.cpp
@@ -26,9 +26,9 @@
 
 std::string change(Ledger& ledger, const CommandId&, const ProposeRoutes& body) {
   RouteState& routes = ledger.routes;
-  if (routes.next != 0 && body.at >= routes.activation_time) settle(routes);
+  if (routes.next != 0 && body.proposed_at >= routes.activation_time) settle(routes);
   if (body.version == 0) return "version 0 is no version";
-  if (body.text.size() > kLongestTable) return numbered(body.version) + " is over 262144 octets";
+  if (body.text.size() > kMaxRouteTableBytes) return numbered(body.version) + " is over 262144 octets";
   if (body.members.empty()) return numbered(body.version) + " names no member";
   for (std::uint64_t standing : {routes.in_force, routes.next, routes.staged})
     if (body.version <= standing) return numbered(body.version) + " is not above " + std::to_string(standing);
@@ -47,7 +47,7 @@
   return {};
 }
 
-std::string change(Ledger& ledger, const CommandId&, const StagedRoutes& body) {
+std::string change(Ledger& ledger, const CommandId&, const AnswerRoutes& body) {
   RouteState& routes = ledger.routes;
   if (body.version == 0 || body.version != routes.staged) return numbered(body.version) + " is not staged";
   if (!body.refusal.empty()) {
@@ -81,13 +81,13 @@
   return {};
 }
 
-std::string change(Ledger& ledger, const CommandId&, const SettleRoutes& body) {
+std::string change(Ledger& ledger, const CommandId&, const CompleteRoutes& body) {
   if (body.version == 0 || body.version != ledger.routes.next) return numbered(body.version) + " is not next";
   settle(ledger.routes);
   return {};
 }
 
-bool bad(std::int64_t amount) { return amount < 0 || amount > kMostUnits; }
+bool bad(std::int64_t amount) { return amount < 0 || amount > kMaxUnits; }
 
 std::string change(Ledger& ledger, const CommandId&, const Deposit& body) {
   if (bad(body.amount)) return "amount is negative or over 2^53";
@@ -111,16 +111,17 @@
 }
 
 std::string change(Ledger& ledger, const CommandId&, const TakeSlice& body) {
-  if (bad(body.wanted) || body.wanted == 0) return "wanted is under 1 or over 2^53";
+  if (bad(body.requested) || body.requested == 0) return "wanted is under 1 or over 2^53";
   const auto found = ledger.wallets.find(body.wallet);
   if (found == ledger.wallets.end()) return "no wallet " + body.wallet;
   Wallet& wallet = found->second;
   if (wallet.out.contains(body.slice) || wallet.held_back.contains(body.slice))
     return "slice " + body.slice + " was taken before";
-  if (body.least < 0 || body.least > body.wanted) return "least is negative or over what is wanted";
-  const std::int64_t least = std::max<std::int64_t>(1, body.least);
+  if (body.min_amount < 0 || body.min_amount > body.requested)
+    return "least is negative or over what is wanted";
+  const std::int64_t least = std::max<std::int64_t>(1, body.min_amount);
   if (wallet.balance < least) return "wallet " + body.wallet + " has less than a call's price";
-  std::int64_t amount = std::min(body.wanted, slice_share(wallet, body.holder, least));
+  std::int64_t amount = std::min(body.requested, slice_share(wallet, body.holder, least));
   amount -= amount % least;  // whole calls: a part of one would be missed elsewhere
   wallet.balance -= amount;
   wallet.out[body.slice] = {body.holder, body.incarnation, amount, body.until};
@@ -154,7 +155,7 @@
   return {};
 }
 
-std::string change(Ledger& ledger, const CommandId& id, const FoundSpent& body) {
+std::string change(Ledger& ledger, const CommandId& id, const ReportSpent& body) {
   const auto found = ledger.wallets.find(body.wallet);
   if (found == ledger.wallets.end()) return "no wallet " + body.wallet;
   Wallet& wallet = found->second;
@@ -211,7 +212,7 @@
   if (index <= ledger.applied) return "index " + std::to_string(index) + " was applied before";
   ledger.applied = index;
   const CommandId& id = command.id;
-  CommandId& last = ledger.last[id.sender];
+  CommandId& last = ledger.last_commands[id.sender];
   if (id.incarnation < last.incarnation) return "of an earlier process";
   const std::uint64_t turn = id.incarnation == last.incarnation ? last.number + 1 : 1;
   if (id.number < turn) return "applied before";
--- a/src/fleet/record/command.h
+++ b/src/fleet/record/command.h
@@ -29,9 +29,9 @@
   std::uint64_t version = 0;
   std::string text;
   std::vector<std::string> members;
-  Time at = 0;
+  Time proposed_at = 0;
 };
-struct StagedRoutes {
+struct AnswerRoutes {
   std::uint64_t version = 0;
   std::string member, refusal;
   bool given_up = false;  // said in `member`'s place: it is gone from the view, its lease runs out by itself
@@ -58,9 +58,9 @@
 struct TakeSlice {
   std::string wallet, slice, holder;
   std::uint64_t incarnation = 0;
-  std::int64_t wanted = 0;
+  std::int64_t requested = 0;
   Time until = 0;
-  std::int64_t least = 0;  // what one call costs: so much at once or nothing; 0: whatever there is
+  std::int64_t min_amount = 0;  // what one call costs: so much at once or nothing; 0: whatever there is
 };
 struct ReturnSlice {
   std::string wallet, slice;
@@ -69,7 +69,7 @@
 struct LapseSlice {
   std::string wallet, slice;
 };  // its holder is gone and its term over: all of it counts as spent
-struct FoundSpent {
+struct ReportSpent {
   std::string wallet, slice;
   std::int64_t spent = 0;
 };  // a journal says what a lapsed one spent
@@ -81,12 +81,13 @@
 
 // The leader's word that `next` is in force: appended by the leader itself, once its clock is past the moment
 // by clock_bound. A ProposeRoutes whose `at` is not before the moment says the same.
-struct SettleRoutes {
+struct CompleteRoutes {
   std::uint64_t version = 0;
 };
 
-using Body = std::variant<ProposeRoutes, StagedRoutes, ActivateRoutes, AbortRoutes, Deposit, TakeSlice,
-                          ReturnSlice, LapseSlice, FoundSpent, ChangeVoters, SettleRoutes>;  // add at the end
+using Body =
+    std::variant<ProposeRoutes, AnswerRoutes, ActivateRoutes, AbortRoutes, Deposit, TakeSlice, ReturnSlice,
+                 LapseSlice, ReportSpent, ChangeVoters, CompleteRoutes>;  // add at the end
 
 struct Command {
   CommandId id;
@@ -124,12 +125,12 @@
   std::uint64_t applied = 0;  // the record's index
   RouteState routes;
   std::map<std::string, Wallet> wallets;
-  std::vector<std::string> voters;        // sorted
-  std::map<std::string, CommandId> last;  // of each sender
+  std::vector<std::string> voters;                 // sorted
+  std::map<std::string, CommandId> last_commands;  // of each sender
 };
 
-constexpr std::int64_t kMostUnits = std::int64_t{1} << 53;
-constexpr std::size_t kLongestTable = 256 * 1024;
+constexpr std::int64_t kMaxUnits = std::int64_t{1} << 53;
+constexpr std::size_t kMaxRouteTableBytes = 256 * 1024;
 
 // Applies one command, or says why it changes nothing. Never throws; the ledger is whole afterwards. What is
 // refused counts as applied (its sender does not repeat it), unless it came before its turn or again.
--- a/src/fleet/record/command_octets.cpp
+++ b/src/fleet/record/command_octets.cpp
@@ -12,8 +12,8 @@
   using Kind = std::remove_const_t<Body>;
   if constexpr (std::is_same_v<Kind, ProposeRoutes>) {
     move(body.version, table.version), move(body.text, table.text), move(body.members, table.names);
-    move(body.at, table.at);
-  } else if constexpr (std::is_same_v<Kind, StagedRoutes>) {
+    move(body.proposed_at, table.at);
+  } else if constexpr (std::is_same_v<Kind, AnswerRoutes>) {
     move(body.version, table.version), move(body.member, table.member), move(body.refusal, table.text);
     move(body.given_up, table.flag);
   } else if constexpr (std::is_same_v<Kind, ActivateRoutes>) {
@@ -24,16 +24,16 @@
     move(body.wallet, table.wallet), move(body.deposit, table.slice), move(body.amount, table.amount);
   } else if constexpr (std::is_same_v<Kind, TakeSlice>) {
     move(body.wallet, table.wallet), move(body.slice, table.slice), move(body.holder, table.member);
-    move(body.incarnation, table.holder_incarnation), move(body.wanted, table.amount);
-    move(body.until, table.at), move(body.least, table.least);
+    move(body.incarnation, table.holder_incarnation), move(body.requested, table.amount);
+    move(body.until, table.at), move(body.min_amount, table.min_amount);
   } else if constexpr (std::is_same_v<Kind, LapseSlice>) {
     move(body.wallet, table.wallet), move(body.slice, table.slice);
-  } else if constexpr (std::is_same_v<Kind, ReturnSlice> || std::is_same_v<Kind, FoundSpent>) {
+  } else if constexpr (std::is_same_v<Kind, ReturnSlice> || std::is_same_v<Kind, ReportSpent>) {
     move(body.wallet, table.wallet), move(body.slice, table.slice), move(body.spent, table.amount);
   } else if constexpr (std::is_same_v<Kind, ChangeVoters>) {
     move(body.voters, table.names);
   } else {
-    static_assert(std::is_same_v<Kind, SettleRoutes>);
+    static_assert(std::is_same_v<Kind, CompleteRoutes>);
     move(body.version, table.version);
   }
 }
@@ -107,7 +107,7 @@
       return slice;
     });
   }
-  table.last = listed(ledger.last, [](const auto& named) {
+  table.last = listed(ledger.last_commands, [](const auto& named) {
     auto* sender = new fb::SenderT;
     sender->name = named.first, sender->incarnation = named.second.incarnation;
     sender->number = named.second.number;
@@ -137,7 +137,7 @@
     for (const auto& slice : row->held_back) wallet.held_back[slice->name] = slice->amount;
   }
   for (const auto& sender : table.last)
-    into.last[sender->name] = {sender->name, sender->incarnation, sender->number};
+    into.last_commands[sender->name] = {sender->name, sender->incarnation, sender->number};
   return true;
 }
 
--- a/src/fleet/record/commands.cpp
+++ b/src/fleet/record/commands.cpp
@@ -87,8 +87,8 @@
 }
 
 void Record::State::drop_applied() {
-  const auto last = ledger.last.find(settings.name);
-  if (last == ledger.last.end()) return;
+  const auto last = ledger.last_commands.find(settings.name);
+  if (last == ledger.last_commands.end()) return;
   while (!pending.empty() && last->second >= pending.front().id) pending.pop_front();
 }
 
@@ -105,7 +105,7 @@
 void Record::State::keep_house(Time now, Outbox& out) {
   const RouteState& routes = ledger.routes;
   if (routes.next == 0 || now < routes.activation_time + settings.clock_bound || !pending.empty()) return;
-  propose(now, SettleRoutes{routes.next}, out);
+  propose(now, CompleteRoutes{routes.next}, out);
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/record/election.cpp
+++ b/src/fleet/record/election.cpp
@@ -127,7 +127,7 @@
     peers[voter].next = log.last() + 1;
     peers[voter].contact = now - election_timeout;  // time to answer, and no lease before that
   }
-  logged = ledger.last;
+  logged = ledger.last_commands;
   for (std::uint64_t index = ledger.applied + 1; index <= log.last(); ++index)
     if (const auto& command = log.at(index).command) logged[command->id.sender] = command->id;
   if (!append_own(std::nullopt)) return follow(now);
--- a/src/fleet/routes/driver.cpp
+++ b/src/fleet/routes/driver.cpp
@@ -102,7 +102,7 @@
     refusal = error.what();
   }
   ++(refusal.empty() ? counts.taken : counts.refused);
-  record.propose(now, StagedRoutes{answered_, settings_.name, bounded(std::move(refusal))}, out);
+  record.propose(now, AnswerRoutes{answered_, settings_.name, bounded(std::move(refusal))}, out);
 }
 
 void Driver::propose(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
@@ -161,7 +161,7 @@
   // the moment, and it places nothing until it has heard of it.
   for (const std::string& name : routes.waited_for)
     if (name != settings_.name && !among(alive, name) && given_up_.insert(name).second)
-      record.propose(now, StagedRoutes{driven_, name, {}, true}, out);
+      record.propose(now, AnswerRoutes{driven_, name, {}, true}, out);
   if (!routes.waited_for.empty() || routes.next != 0) return;
   decided_ = true;
   ++counts.activated;
--- a/src/fleet/routes/table.cpp
+++ b/src/fleet/routes/table.cpp
@@ -80,8 +80,8 @@
 
 Table table_of(std::string_view text, const std::string& file) {
   std::string place = file + ": ";
-  if (text.size() > kLongestTable)
-    throw config::DecodeError(place + "expected at most " + std::to_string(kLongestTable) + " octets");
+  if (text.size() > kMaxRouteTableBytes)
+    throw config::DecodeError(place + "expected at most " + std::to_string(kMaxRouteTableBytes) + " octets");
   if (deep(text)) throw config::DecodeError(place + "nested too deep for a table of routes");
   Options options = config::flatten(text, place);
   Table table;
--- a/src/fleet/wallet/settings.cpp
+++ b/src/fleet/wallet/settings.cpp
@@ -12,7 +12,7 @@
 
 std::int64_t units(const Options& options, const std::string& key, std::int64_t min) {
   auto value = config::parse_number<std::int64_t>(options.text(key));
-  if (!value || *value < min || *value > kMostUnits)
+  if (!value || *value < min || *value > kMaxUnits)
     options.refuse(key, fmt::format("whole units, {} to 2^53", min));
   return *value;
 }
@@ -72,7 +72,7 @@
     if (!s.deposits[wallet].emplace(name(options, path + "id"), amount).second)
       options.refuse(path + "id", "each id once in a wallet");
     std::int64_t& sum = sums[wallet];
-    if (amount > kMostUnits - sum) options.refuse(path + "units", "a sum of at most 2^53 in a wallet");
+    if (amount > kMaxUnits - sum) options.refuse(path + "units", "a sum of at most 2^53 in a wallet");
     sum += amount;
   }
   std::vector<std::string> unread = options.unread();
--- a/src/fleet/wallet/slices.cpp
+++ b/src/fleet/wallet/slices.cpp
@@ -110,8 +110,8 @@
   if (refill.pending_slice.empty()) return;
   auto granted = wallet->out.find(refill.pending_slice);
   if (granted != wallet->out.end()) add_slice(now, budget, granted->first, granted->second, refill);
-  auto last = ledger.last.find(identity_.name);
-  bool applied = last != ledger.last.end() && last->second.incarnation == identity_.incarnation &&
+  auto last = ledger.last_commands.find(identity_.name);
+  bool applied = last != ledger.last_commands.end() && last->second.incarnation == identity_.incarnation &&
                  last->second.number >= refill.pending_command;
   if (granted != wallet->out.end() || applied) refill.pending_slice.clear();
 }
@@ -220,7 +220,7 @@
       continue;
     if (journal_ && slice.spent < slice.amount) append_line(budget, slice, slice.spent);
     if (slice.state == SliceState::expired)
-      record.propose(now, FoundSpent{budget.tenant, slice.id, slice.spent}, out);
+      record.propose(now, ReportSpent{budget.tenant, slice.id, slice.spent}, out);
     else
       record.propose(now, ReturnSlice{budget.tenant, slice.id, slice.spent}, out);
     slice.was_expired = slice.state == SliceState::expired;
--- a/src/fleet/wallet/wallets.cpp
+++ b/src/fleet/wallet/wallets.cpp
@@ -137,8 +137,8 @@
   for (const auto& [tenant, wallet] : ledger.wallets)
     for (const auto& [id, slice] : wallet.out) {
       if (now <= slice.until + clock_bound) continue;
-      auto last = ledger.last.find(slice.holder);
-      bool restarted = last != ledger.last.end() && last->second.incarnation > slice.incarnation;
+      auto last = ledger.last_commands.find(slice.holder);
+      bool restarted = last != ledger.last_commands.end() && last->second.incarnation > slice.incarnation;
       bool silent = now > slice.until + clock_bound + settings.term;
       if (present.count(slice.holder) && !restarted && !silent) continue;
       if (!expiring.count({tenant, id})) record.propose(now, LapseSlice{tenant, id}, out);
@@ -152,8 +152,8 @@
 void Wallets::State::report_recovered(Time now, RecordInterface& record, Outbox& out) {
   const Ledger& ledger = record.ledger();
   // Once a command of this incarnation is applied, no slice can be granted to the previous process any more.
-  auto last = ledger.last.find(name);
-  bool complete = last != ledger.last.end() && last->second.incarnation == incarnation;
+  auto last = ledger.last_commands.find(name);
+  bool complete = last != ledger.last_commands.end() && last->second.incarnation == incarnation;
   for (auto it = recovered.begin(); it != recovered.end();) {
     const auto& [tenant, id] = it->first;
     auto wallet = ledger.wallets.find(tenant);
@@ -166,7 +166,7 @@
                                                     : now > slice->second.until + clock_bound;
     }
     if (confirmed) {
-      record.propose(now, FoundSpent{tenant, id, it->second}, out);
+      record.propose(now, ReportSpent{tenant, id, it->second}, out);
       it = recovered.erase(it);
     } else if (obsolete) {
       it = recovered.erase(it);
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -13,16 +13,16 @@
   std::vector<std::string> all;
   const Body bodies[] = {
       ProposeRoutes{2, R"({"version": 2, "pools": [], "rules": []})", {"alva", "boris"}, kStart + kSecond},
-      StagedRoutes{2, "boris", "", false},
+      AnswerRoutes{2, "boris", "", false},
       ActivateRoutes{2, kStart + 2 * kSecond},
       AbortRoutes{2, "why"},
       Deposit{"acme", "d2", 7},
       TakeSlice{"acme", "boris/1/1", "boris", 1, 5, kStart + 3 * kSecond},
       ReturnSlice{"acme", "boris/1/1", 1},
       LapseSlice{"acme", "boris/1/1"},
-      FoundSpent{"acme", "boris/1/1", 1},
+      ReportSpent{"acme", "boris/1/1", 1},
       ChangeVoters{{"boris", "celia", "dora"}},
-      SettleRoutes{2}};
+      CompleteRoutes{2}};
   static_assert(std::size(bodies) == std::variant_size_v<Body>);
   for (const Body& body : bodies) all.push_back(encode(Command{{"boris", 1, all.size() + 1}, body}));
   return all;
--- a/tests/fleet/record/command_test.cpp
+++ b/tests/fleet/record/command_test.cpp
@@ -12,7 +12,7 @@
   Ledger ledger;
   std::uint64_t number = 0;
   std::string by(Body body, const std::string& sender = "b1", std::uint64_t incarnation = 1) {
-    const CommandId& last = ledger.last[sender];
+    const CommandId& last = ledger.last_commands[sender];
     return apply(ledger, ledger.applied + 1,
                  {{sender, incarnation, last.incarnation == incarnation ? last.number + 1 : 1}, body});
   }
@@ -40,21 +40,21 @@
   CHECK(book.by(ProposeRoutes{3, "three", {"b1", "b2", "b3"}, 100}).empty());
   CHECK(book.by(ProposeRoutes{3, "three", {"b1"}, 100}) == "version 3 is not above 3");
   CHECK(book.by(ActivateRoutes{3, 900}) == "version 3 waits for b1 and 2 more");
-  CHECK(book.by(StagedRoutes{3, "b1", "", false}).empty());
-  CHECK(book.by(StagedRoutes{3, "b1", "", false}) == "b1 is not waited for");
-  CHECK(book.by(StagedRoutes{3, "b2", "", false}).empty());
-  CHECK(book.by(StagedRoutes{3, "b3", "", true}).empty());
+  CHECK(book.by(AnswerRoutes{3, "b1", "", false}).empty());
+  CHECK(book.by(AnswerRoutes{3, "b1", "", false}) == "b1 is not waited for");
+  CHECK(book.by(AnswerRoutes{3, "b2", "", false}).empty());
+  CHECK(book.by(AnswerRoutes{3, "b3", "", true}).empty());
   CHECK(book.by(ActivateRoutes{3, 900}).empty());
   CHECK(routes.next == 3);
   CHECK(routes.next_text == "three");
   CHECK(routes.staged == 0);
   CHECK_FALSE(book.by(AbortRoutes{3, "late"}).empty());
-  CHECK_FALSE(book.by(StagedRoutes{3, "b2", "no", false}).empty());
+  CHECK_FALSE(book.by(AnswerRoutes{3, "b2", "no", false}).empty());
   // While its moment is ahead another may be staged, but not activated.
   CHECK(book.by(ProposeRoutes{4, "four", {"b1"}, 899}).empty());
-  CHECK(book.by(StagedRoutes{4, "b1", "", false}).empty());
+  CHECK(book.by(AnswerRoutes{4, "b1", "", false}).empty());
   CHECK(book.by(ActivateRoutes{4, 2000}) == "the moment of version 3 is not over");
-  CHECK(book.by(SettleRoutes{3}).empty());
+  CHECK(book.by(CompleteRoutes{3}).empty());
   CHECK(routes.in_force == 3);
   CHECK(routes.text == "three");
   CHECK(routes.activation_time == 900);
@@ -68,7 +68,7 @@
   Book book;
   RouteState& routes = book.ledger.routes;
   book.by(ProposeRoutes{3, "three", {"b1", "b2"}, 0});
-  CHECK(book.by(StagedRoutes{3, "b2", "pools[0]: unknown", false}).empty());
+  CHECK(book.by(AnswerRoutes{3, "b2", "pools[0]: unknown", false}).empty());
   CHECK(routes.last_refusal == "version 3 aborted: b2: pools[0]: unknown");
   CHECK(routes.staged == 0);
   CHECK(book.by(ProposeRoutes{3, "other", {"b1"}, 0}) ==
@@ -79,7 +79,7 @@
   CHECK(book.by(ProposeRoutes{4, "four", {"b1"}, 0}) == "version 4 is not above 5");
   CHECK(book.by(AbortRoutes{5, "time-out"}).empty());
   CHECK(routes.last_refusal == "version 5 aborted: time-out");
-  CHECK(book.by(ProposeRoutes{6, std::string(kLongestTable + 1, 'x'), {"b1"}, 0}) ==
+  CHECK(book.by(ProposeRoutes{6, std::string(kMaxRouteTableBytes + 1, 'x'), {"b1"}, 0}) ==
         "version 6 is over 262144 octets");
 }
 
@@ -87,9 +87,9 @@
   Book book;
   Wallet& wallet = book.ledger.wallets["w"];
   CHECK(book.by(Deposit{"w", "d", -1}) == "amount is negative or over 2^53");
-  CHECK(book.by(Deposit{"w", "d", kMostUnits + 1}) == "amount is negative or over 2^53");
+  CHECK(book.by(Deposit{"w", "d", kMaxUnits + 1}) == "amount is negative or over 2^53");
   CHECK(book.by(Deposit{"w", "d", 80}).empty());
-  CHECK(book.by(Deposit{"w", "e", kMostUnits}) == "wallet would be over 2^53");
+  CHECK(book.by(Deposit{"w", "e", kMaxUnits}) == "wallet would be over 2^53");
   CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}).empty());
   CHECK(wallet.out["s1"].amount == 10);
   CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}) == "slice s1 was taken before");
@@ -98,15 +98,15 @@
   CHECK(book.by(ReturnSlice{"w", "s1", 4}).empty());
   CHECK(book.by(ReturnSlice{"w", "s1", 4}) == "slice s1 is not out");
   CHECK(wallet.balance == 73);
-  CHECK(book.by(FoundSpent{"w", "s2", 1}, "b2", 1) == "slice s2 is still out to a living holder");
+  CHECK(book.by(ReportSpent{"w", "s2", 1}, "b2", 1) == "slice s2 is still out to a living holder");
   CHECK(book.by(LapseSlice{"w", "s2"}).empty());
   CHECK(wallet.spent == 7);
   CHECK(book.by(ReturnSlice{"w", "s2", 1}) == "slice s2 is not out");
-  CHECK(book.by(FoundSpent{"w", "s2", 1}).empty());
+  CHECK(book.by(ReportSpent{"w", "s2", 1}).empty());
   CHECK(wallet.spent == 5);
   CHECK(wallet.balance == 75);
   book.by(TakeSlice{"w", "s3", "b3", 1, 3, 9});
-  CHECK(book.by(FoundSpent{"w", "s3", 2}, "b3", 2).empty());
+  CHECK(book.by(ReportSpent{"w", "s3", 2}, "b3", 2).empty());
   CHECK(wallet.spent == 7);
 }
 
@@ -154,7 +154,7 @@
         book.by(LapseSlice{wallet, slice});
         break;
       default:
-        book.by(FoundSpent{wallet, slice, amount}, "b", 3);
+        book.by(ReportSpent{wallet, slice, amount}, "b", 3);
     }
   }
   CHECK(book.ledger.wallets["w0"].paid > 0);
@@ -172,16 +172,16 @@
 
 TEST_CASE("every command and a ledger come back from their octets; cut or flipped ones do not") {
   const std::vector<Body> bodies{ProposeRoutes{3, "t", {"a", "b"}, 7},
-                                 StagedRoutes{3, "a", "no", true},
+                                 AnswerRoutes{3, "a", "no", true},
                                  ActivateRoutes{3, 9},
                                  AbortRoutes{3, "why"},
                                  Deposit{"w", "d", 5},
                                  TakeSlice{"w", "s", "a", 2, 5, 9, 4},
                                  ReturnSlice{"w", "s", 2},
                                  LapseSlice{"w", "s"},
-                                 FoundSpent{"w", "s", 1},
+                                 ReportSpent{"w", "s", 1},
                                  ChangeVoters{{"a", "b", "c"}},
-                                 SettleRoutes{3}};
+                                 CompleteRoutes{3}};
   REQUIRE(bodies.size() == std::variant_size_v<Body>);
   Ledger ledger;
   std::uint64_t number = 0;
@@ -211,7 +211,7 @@
   CHECK(digest(back) == digest(ledger));
   CHECK(back.wallets["w"].out["s9"].until == 4);
   CHECK(back.wallets["w"].held_back["s8"] == 2);
-  CHECK(back.last["a"].number == number);
+  CHECK(back.last_commands["a"].number == number);
   back.routes.max_proposed_hash ^= 1;
   CHECK(digest(back) != digest(ledger));
 }
--- a/tests/fleet/record/record_test.cpp
+++ b/tests/fleet/record/record_test.cpp
@@ -165,7 +165,7 @@
   body.text = "t";
   body.members = {"o0"};
   cluster.propose("o0", body);
-  StagedRoutes yes;
+  AnswerRoutes yes;
   yes.version = 1;
   yes.member = "o0";
   cluster.propose("o0", yes);
@@ -201,15 +201,15 @@
   table.version = version;
   table.text = std::to_string(version);
   table.members = {name};
-  table.at = cluster.now + cluster.members[name].offset;
+  table.proposed_at = cluster.now + cluster.members[name].offset;
   cluster.propose(name, table);
-  StagedRoutes yes;
+  AnswerRoutes yes;
   yes.version = version;
   yes.member = name;
   cluster.propose(name, yes);
   ActivateRoutes now;
   now.version = version;
-  now.activation_time = table.at;
+  now.activation_time = table.proposed_at;
   cluster.propose(name, now);
 }
 
--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -226,7 +226,7 @@
 TEST_CASE("a table on record that cannot be read fences, and is not read again at each step") {
   Begun w;
   w.record.append({{"by-hand", 1, 1}, ProposeRoutes{2, "not a table", {"ghost"}, w.record.now}});
-  w.record.append({{"by-hand", 1, 2}, StagedRoutes{2, "ghost", "", true}});
+  w.record.append({{"by-hand", 1, 2}, AnswerRoutes{2, "ghost", "", true}});
   w.record.append({{"by-hand", 1, 3}, ActivateRoutes{2, 0}});
   w.run(2 * kSecond);
   for (auto& [name, b] : w.members) CHECK(b.placing == Placing::fenced);
--- a/tests/fleet/routes/agreed.cpp
+++ b/tests/fleet/routes/agreed.cpp
@@ -72,8 +72,8 @@
     return std::any_of(log.begin() + static_cast<std::ptrdiff_t>(committed), log.end(),
                        [&](const Entry& e) { return e.command.id == id; });
   };
-  auto last = ledger.last.find(command.id.sender);
-  if (known(command.id) || (last != ledger.last.end() && command.id <= last->second)) return;
+  auto last = ledger.last_commands.find(command.id.sender);
+  if (known(command.id) || (last != ledger.last_commands.end() && command.id <= last->second)) return;
   if (auto* activate = std::get_if<ActivateRoutes>(&command.body))
     activate->activation_time =
         std::max(activate->activation_time, clock_of(leader) + settings.lease + 2 * settings.clock_bound);
@@ -113,8 +113,9 @@
     }
     const RouteState& r = ledger.routes;
     if (r.next != 0 && clock_of(leader) >= r.activation_time + settings.clock_bound) {
-      auto it = ledger.last.find("settler");
-      append({{"settler", 1, it == ledger.last.end() ? 1 : it->second.number + 1}, SettleRoutes{r.next}});
+      auto it = ledger.last_commands.find("settler");
+      append({{"settler", 1, it == ledger.last_commands.end() ? 1 : it->second.number + 1},
+              CompleteRoutes{r.next}});
     }
   }
   if (leader.empty() || !awake(leader)) return;
@@ -153,9 +154,10 @@
 
 void Record::tick(Time now, Outbox&) {
   State& s = *state_;
-  auto last = s.ledger.last.find(s.settings.name);
-  std::erase_if(s.waiting,
-                [&](const Command& c) { return last != s.ledger.last.end() && c.id <= last->second; });
+  auto last = s.ledger.last_commands.find(s.settings.name);
+  std::erase_if(s.waiting, [&](const Command& c) {
+    return last != s.ledger.last_commands.end() && c.id <= last->second;
+  });
   if (now < s.again) return;
   s.again = now + 100 * kMillisecond;
   for (const Command& c : s.waiting)
--- a/tests/fleet/routes/table_test.cpp
+++ b/tests/fleet/routes/table_test.cpp
@@ -69,7 +69,7 @@
       {"[1]", "expected a JSON object"},
       {"{\"version\": 3", "expected a JSON object"},
       {std::string(200'000, '['), "nested too deep"},
-      {std::string(kLongestTable + 1, ' '), "expected at most 262144 octets"},
+      {std::string(kMaxRouteTableBytes + 1, ' '), "expected at most 262144 octets"},
   };
   for (const auto& [text, key] : wrong) {
     CAPTURE(text.substr(0, 200), key, why(text));
--- a/tests/fleet/wallet/settings_test.cpp
+++ b/tests/fleet/wallet/settings_test.cpp
@@ -30,7 +30,7 @@
   CHECK(s.pause == 500 * kMillisecond);
   CHECK(s.max_held_back == 50);
   CHECK(s.prices == std::map<std::string, std::int64_t>{{"a", 2}, {"b", 0}});
-  CHECK(s.deposits["p"]["1"] == kMostUnits);
+  CHECK(s.deposits["p"]["1"] == kMaxUnits);
   CHECK(s.deposits["q"]["1"] == 7);
 }
 
--- a/tests/fleet/wallet/wallet_fleet.h
+++ b/tests/fleet/wallet/wallet_fleet.h
@@ -198,14 +198,14 @@
  private:
   void apply_log(Holder& h, std::size_t until) {
     for (std::size_t i = h.applied_ledger.applied; i < until; ++i) apply(h.applied_ledger, i + 1, log[i]);
-    auto last = h.applied_ledger.last.find(h.name);
-    if (last == h.applied_ledger.last.end() || last->second.incarnation != h.incarnation) return;
+    auto last = h.applied_ledger.last_commands.find(h.name);
+    if (last == h.applied_ledger.last_commands.end() || last->second.incarnation != h.incarnation) return;
     while (!h.outbox.empty() && h.outbox.front().id.number <= last->second.number) h.outbox.pop_front();
   }
   void append_commands(Holder& h) {
     for (const Command& command : h.outbox) {
-      auto last = committed.last.find(h.name);
-      bool known = last != committed.last.end() && last->second.incarnation == h.incarnation &&
+      auto last = committed.last_commands.find(h.name);
+      bool known = last != committed.last_commands.end() && last->second.incarnation == h.incarnation &&
                    last->second.number >= command.id.number;
       if (known && !rng.with_probability(resend_probability)) continue;
       log.push_back(command);
