--- a/src/fleet/record/commands.cpp
+++ b/src/fleet/record/commands.cpp
@@ -80,7 +80,7 @@
 }
 
 bool Record::State::append_own(std::optional<Command> command) {
-  if (log.append({{log.last() + 1, kept.term, command ? encode(*command) : std::string()}})) return true;
+  if (log.append({{log.last() + 1, voting.term, command ? encode(*command) : std::string()}})) return true;
   disk_failed = true;
   leader.clear();
   return false;
@@ -96,7 +96,8 @@
   drop_applied();
   if (!std::holds_alternative<ChangeVoters>(command.body)) return;
   const bool is_voter = std::ranges::count(ledger.voters, settings.name) != 0;
-  if (kept.outside && kept.floor != 0 && ledger.applied > kept.floor && is_voter && !was_voter) {
+  if (voting.excluded && voting.readmit_after != 0 && ledger.applied > voting.readmit_after && is_voter &&
+      !was_voter) {
     vouched = true;
     set_outside(false, 0);
   }
--- a/src/fleet/record/election.cpp
+++ b/src/fleet/record/election.cpp
@@ -13,34 +13,34 @@
 }
 
 bool Record::State::can_vote() const {
-  return disk != nullptr && !disk_failed && !kept.outside && vouched && votes(settings.name);
+  return disk != nullptr && !disk_failed && !voting.excluded && vouched && votes(settings.name);
 }
 
-bool Record::State::adopt(std::uint64_t term, const std::string& voted) {
-  if (term == kept.term && voted == kept.voted) return true;
-  MARBLEHUB_INVARIANT("record", term > kept.term || (term == kept.term && kept.voted.empty()),
+bool Record::State::adopt(std::uint64_t term, const std::string& voted_for) {
+  if (term == voting.term && voted_for == voting.voted_for) return true;
+  MARBLEHUB_INVARIANT("record", term > voting.term || (term == voting.term && voting.voted_for.empty()),
                       "a second vote in term " + std::to_string(term));
-  Disk::Term wanted = kept;
+  Disk::VotingState wanted = voting;
   wanted.term = term;
-  wanted.voted = voted;
-  if (disk != nullptr && !disk->keep(wanted)) {
+  wanted.voted_for = voted_for;
+  if (disk != nullptr && !disk->store_voting_state(wanted)) {
     disk_failed = true;
     return false;
   }
   disk_failed = false;
-  kept = wanted;
+  voting = wanted;
   return true;
 }
 
-void Record::State::set_outside(bool outside, std::uint64_t floor) {
-  Disk::Term wanted = kept;
-  wanted.outside = outside;
-  wanted.floor = floor;
-  if (disk != nullptr && !disk->keep(wanted)) {
+void Record::State::set_outside(bool excluded, std::uint64_t readmit_after) {
+  Disk::VotingState wanted = voting;
+  wanted.excluded = excluded;
+  wanted.readmit_after = readmit_after;
+  if (disk != nullptr && !disk->store_voting_state(wanted)) {
     disk_failed = true;
-    if (!outside) return;  // goes on not voting
+    if (!excluded) return;  // goes on not voting
   }
-  kept = wanted;
+  voting = wanted;
 }
 
 void Record::State::follow(Time now) {
@@ -51,7 +51,7 @@
 }
 
 void Record::State::campaign(Time now, bool pre, Outbox& out) {
-  if (!pre && !adopt(kept.term + 1, settings.name)) return follow(now);
+  if (!pre && !adopt(voting.term + 1, settings.name)) return follow(now);
   role = Role::candidate;
   asking_pre = pre;
   leader.clear();
@@ -60,7 +60,7 @@
   Message ask;
   ask.kind = kAsk;
   ask.flag = pre;
-  ask.term = kept.term + (pre ? 1 : 0);
+  ask.term = voting.term + (pre ? 1 : 0);
   ask.index = log.last();
   ask.index_term = log.last_term();
   for (const std::string& voter : voters())
@@ -85,17 +85,17 @@
   answer.offset = message.flag ? 1 : 0;
   const bool newer = Place{message.index_term, message.index} >= Place{log.last_term(), log.last()};
   if (message.flag) {
-    answer.flag = newer && message.term > kept.term;
+    answer.flag = newer && message.term > voting.term;
   } else {
-    if (message.term > kept.term) {
+    if (message.term > voting.term) {
       if (!adopt(message.term, newer ? from : "")) return;
       follow(now);
-    } else if (message.term == kept.term && kept.voted.empty() && newer) {
+    } else if (message.term == voting.term && voting.voted_for.empty() && newer) {
       if (!adopt(message.term, from)) return;
     }
-    answer.flag = message.term == kept.term && kept.voted == from;
+    answer.flag = message.term == voting.term && voting.voted_for == from;
   }
-  answer.term = message.flag && answer.flag ? message.term : kept.term;
+  answer.term = message.flag && answer.flag ? message.term : voting.term;
   answer.index = log.last();
   answer.index_term = log.last_term();
   send(from, answer, out);
@@ -105,12 +105,12 @@
   const bool pre = message.offset == 1;
   known[from] = std::max(known[from], Place{message.index_term, message.index});
   if (!pre) known_term[from] = std::max(known_term[from], message.term);
-  if (!message.flag && message.term > kept.term) {
+  if (!message.flag && message.term > voting.term) {
     if (adopt(message.term, "")) follow(now);
     return;
   }
   // In the pre-vote the term is not yet this candidate's; once it is, late answers to it count for nothing.
-  const bool mine = pre == asking_pre && message.term == kept.term + (pre ? 1 : 0);
+  const bool mine = pre == asking_pre && message.term == voting.term + (pre ? 1 : 0);
   if (role != Role::candidate || !message.flag || !mine || !votes(from) || !can_vote()) return;
   yes.insert(from);
   if (yes.size() * 2 <= voters().size()) return;
@@ -140,8 +140,8 @@
   due_hello = now + pulse * 2;
   Message hello;
   hello.kind = kHello;
-  hello.flag = kept.outside;
-  hello.index = kept.outside ? ledger.applied : log.last();
+  hello.flag = voting.excluded;
+  hello.index = voting.excluded ? ledger.applied : log.last();
   hello.index_term = log.last_term();
   std::set<std::string> asked(settings.voters.begin(), settings.voters.end());
   for (const std::string& voter : voters()) asked.insert(voter);
@@ -183,9 +183,9 @@
 }
 
 void Record::State::on_hello_back(const std::string& from, const Message& message) {
-  if (vouched || kept.outside) return;
+  if (vouched || voting.excluded) return;
   const Place told{message.index_term, message.index}, here{log.last_term(), log.last()};
-  if (told > here || message.term > kept.term) return set_outside(true, 0);  // this disk is an old copy
+  if (told > here || message.term > voting.term) return set_outside(true, 0);  // this disk is an old copy
   if (message.flag) return;  // there is a leader: its word is waited for
   // The leader has all that was ever agreed; once this one has it too, nothing that it forgot matters.
   if (message.total != 0) {
--- a/src/fleet/record/learning.cpp
+++ b/src/fleet/record/learning.cpp
@@ -92,7 +92,7 @@
   learner.heard = now;
   // It asks where it misses something, and what was pushed since is sent again then.
   learner.have = message.index;
-  const std::uint64_t term = role == Role::leader ? kept.term : beat_term;
+  const std::uint64_t term = role == Role::leader ? voting.term : beat_term;
   const Time beat = role == Role::leader ? due_beat - pulse : beat_sent;
   if (fresh || message.index < ledger.applied ||
       std::pair(message.term, static_cast<Time>(message.beat)) < std::pair(term, beat))
@@ -104,7 +104,7 @@
   if (learner.have < log.base()) return send_chunk(to, 0, out);
   Message news;
   news.kind = kLearnt;
-  news.term = role == Role::leader ? kept.term : beat_term;
+  news.term = role == Role::leader ? voting.term : beat_term;
   news.beat = role == Role::leader ? due_beat - pulse : beat_sent;
   news.commit = ledger.applied;
   put_lease(news);
@@ -133,7 +133,7 @@
 
 void Record::State::on_learnt(Time now, const std::string& from, Message& message, Outbox& out) {
   if (role == Role::leader || from != upstream) return;
-  if (kept.outside && kept.floor == 0 && message.total != 0) set_outside(true, message.total);
+  if (voting.excluded && voting.readmit_after == 0 && message.total != 0) set_outside(true, message.total);
   const std::uint64_t before = ledger.applied;
   std::vector<Disk::Entry> entries;
   for (auto& entry : message.entries) {
--- a/src/fleet/record/lmdb_disk.cpp
+++ b/src/fleet/record/lmdb_disk.cpp
@@ -117,12 +117,12 @@
   return mdb_txn_commit(txn) == 0;  // synced
 }
 
-bool LmdbDisk::keep(const Term& term) {
+bool LmdbDisk::store_voting_state(const VotingState& state) {
   std::string record;
-  put(record, term.term);
-  put(record, term.floor);
-  put(record, term.outside ? 1 : 0);
-  record += term.voted;
+  put(record, state.term);
+  put(record, state.readmit_after);
+  put(record, state.excluded ? 1 : 0);
+  record += state.voted_for;
   return write([&](MDB_txn* txn) { return store(txn, table_, "T", record); });
 }
 
@@ -140,7 +140,7 @@
   });
 }
 
-bool LmdbDisk::snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) {
+bool LmdbDisk::store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) {
   return write([&](MDB_txn* txn) {
     std::string record;
     put(record, index);
@@ -178,12 +178,12 @@
       octets.remove_suffix(sizeof hash);
     }
     if (hash != hash_of(name + std::string(octets))) refuse("a record is torn or flipped");
-    contents.fresh = false;
+    contents.empty = false;
     if (name == "T") {
-      contents.term.term = take(octets);
-      contents.term.floor = take(octets);
-      contents.term.outside = take(octets) != 0;
-      contents.term.voted = octets;
+      contents.voting.term = take(octets);
+      contents.voting.readmit_after = take(octets);
+      contents.voting.excluded = take(octets) != 0;
+      contents.voting.voted_for = octets;
     } else if (name == "S") {
       contents.snapshot_index = take(octets);
       contents.snapshot_term = take(octets);
--- a/src/fleet/record/lmdb_disk.h
+++ b/src/fleet/record/lmdb_disk.h
@@ -21,9 +21,9 @@
   LmdbDisk(const LmdbDisk&) = delete;
   LmdbDisk& operator=(const LmdbDisk&) = delete;
 
-  bool keep(const Term& term) override;
+  bool store_voting_state(const VotingState& state) override;
   bool append(const std::vector<Entry>& entries) override;
-  bool snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override;
+  bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override;
   Contents load() override;
 
  private:
--- a/src/fleet/record/log.cpp
+++ b/src/fleet/record/log.cpp
@@ -65,7 +65,7 @@
 
 bool Log::compact(std::uint64_t index, std::string ledger) {
   const std::uint64_t term = *term_at(index);
-  if (disk_ != nullptr && !disk_->snapshot(index, term, ledger)) return false;
+  if (disk_ != nullptr && !disk_->store_snapshot(index, term, ledger)) return false;
   snapshot_index_ = index;
   snapshot_term_ = term;
   snapshot_ = std::move(ledger);
@@ -78,7 +78,7 @@
 }
 
 bool Log::install(std::uint64_t index, std::uint64_t term, std::string ledger) {
-  if (disk_ != nullptr && !disk_->snapshot(index, term, ledger)) return false;
+  if (disk_ != nullptr && !disk_->store_snapshot(index, term, ledger)) return false;
   snapshot_index_ = index;
   snapshot_term_ = term;
   snapshot_ = std::move(ledger);
--- a/src/fleet/record/memory_disk.h
+++ b/src/fleet/record/memory_disk.h
@@ -11,22 +11,22 @@
 class MemoryDisk : public Disk {
  public:
   bool full = false;
-  bool keep(const Term& term) override {
+  bool store_voting_state(const VotingState& state) override {
     if (full) return false;
-    contents_.fresh = false;
-    contents_.term = term;
+    contents_.empty = false;
+    contents_.voting = state;
     return true;
   }
   bool append(const std::vector<Entry>& entries) override {
     if (full) return false;
-    contents_.fresh = false;
+    contents_.empty = false;
     std::erase_if(contents_.entries, [&](const Entry& e) { return e.index >= entries.front().index; });
     contents_.entries.insert(contents_.entries.end(), entries.begin(), entries.end());
     return true;
   }
-  bool snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override {
+  bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override {
     if (full) return false;
-    contents_.fresh = false;
+    contents_.empty = false;
     // Entries after it follow it only where it is of the same log.
     const auto same =
         std::ranges::find_if(contents_.entries, [&](const Entry& e) { return e.index == index; });
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -31,14 +31,14 @@
       heard(now) {
   if (disk != nullptr) {
     const Disk::Contents contents = disk->load();
-    kept = contents.term;
+    voting = contents.voting;
     log.load(contents);
     if (contents.snapshot_index != 0 &&
         (!decode(contents.snapshot, ledger) || ledger.applied != contents.snapshot_index))
       throw StorageError("record: the snapshot on disk is not of its index " +
                          std::to_string(contents.snapshot_index));
-    if (contents.fresh) set_outside(!first_fleet, 0);
-    if (contents.fresh && first_fleet) vouched = true;
+    if (contents.empty) set_outside(!first_fleet, 0);
+    if (contents.empty && first_fleet) vouched = true;
   }
   follow(now);
 }
@@ -107,7 +107,7 @@
   if (state.voters().empty()) return;
   if (state.disk_failed && state.due_beat <= now) {
     state.due_beat = now + state.pulse;
-    state.disk_failed = !state.disk->keep(state.kept);
+    state.disk_failed = !state.disk->store_voting_state(state.voting);
   }
   const bool voter = state.disk != nullptr && state.votes(state.settings.name);
   if (state.role == Role::leader) {
@@ -126,7 +126,7 @@
     if (state.role != Role::observer) state.follow(now);
     if (state.due_learn <= now) state.learn(now, out);
   }
-  if (state.disk != nullptr && (!state.vouched || state.kept.outside) && state.due_hello <= now)
+  if (state.disk != nullptr && (!state.vouched || state.voting.excluded) && state.due_hello <= now)
     state.say_hello(now, out);
   if (!state.pending.empty() && state.due_forward <= now) state.forward(now, out);
 }
@@ -137,7 +137,8 @@
   const bool voter = state.disk != nullptr && state.votes(state.settings.name);
   if (state.role == Role::leader || state.disk_failed) due = state.due_beat;
   if (state.role != Role::leader) due = std::min(due, voter ? state.due_campaign : state.due_learn);
-  if (state.disk != nullptr && (!state.vouched || state.kept.outside)) due = std::min(due, state.due_hello);
+  if (state.disk != nullptr && (!state.vouched || state.voting.excluded))
+    due = std::min(due, state.due_hello);
   if (!state.pending.empty()) due = std::min(due, state.due_forward);
   return due;
 }
@@ -150,7 +151,8 @@
 std::optional<Grant> Record::grant() const { return state_->grant; }
 Role Record::role() const { return state_->role; }
 std::uint64_t Record::term() const {
-  return state_->role == Role::observer ? std::max(state_->kept.term, state_->beat_term) : state_->kept.term;
+  return state_->role == Role::observer ? std::max(state_->voting.term, state_->beat_term)
+                                        : state_->voting.term;
 }
 std::string Record::leader() const { return state_->leader; }
 bool Record::majority(Time now) const {
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -17,27 +17,27 @@
 // the voter stops voting until it can write again. Implementations: LMDB in service, a map in tests.
 class Disk {
  public:
-  struct Term {
+  struct VotingState {
     std::uint64_t term = 0;
-    std::string voted;
+    std::string voted_for;
     // This name's earlier votes and acknowledgements are not on this disk: it does not vote until a
     // ChangeVoters beyond `floor`, applied, has taken it in where it was not one of the voters.
-    bool outside = false;
-    std::uint64_t floor = 0;
+    bool excluded = false;
+    std::uint64_t readmit_after = 0;
   };
   struct Entry {
     std::uint64_t index = 0, term = 0;
     std::string command;
   };  // encode(Command); empty: a no-op
   virtual ~Disk() = default;
-  virtual bool keep(const Term& term) = 0;
+  virtual bool store_voting_state(const VotingState& state) = 0;
   virtual bool append(
       const std::vector<Entry>& entries) = 0;  // what stands from the first index on is replaced
-  virtual bool snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) = 0;
+  virtual bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) = 0;
   struct Contents {
-    bool fresh =
+    bool empty =
         true;  // nothing was ever kept here: a voter of this name must be taken in anew before it votes
-    Term term;
+    VotingState voting;
     std::uint64_t snapshot_index = 0, snapshot_term = 0;
     std::string snapshot;
     std::vector<Entry> entries;
--- a/src/fleet/record/replication.cpp
+++ b/src/fleet/record/replication.cpp
@@ -56,7 +56,7 @@
   }
   Message append;
   append.kind = kAppend;
-  append.term = kept.term;
+  append.term = voting.term;
   append.beat = now;
   append.commit = ledger.applied;
   append.total = log.last();
@@ -77,9 +77,9 @@
   Message answer;
   answer.kind = kAppended;
   answer.beat = message.beat;
-  answer.term = kept.term;
-  if (message.term < kept.term) return send(from, answer, out);
-  if (message.term > kept.term) {
+  answer.term = voting.term;
+  if (message.term < voting.term) return send(from, answer, out);
+  if (message.term > voting.term) {
     if (!adopt(message.term, "")) return;
     follow(now);
   }
@@ -88,8 +88,9 @@
   leader = from;
   heard = now;
   wait_anew(now);
-  if (kept.outside && kept.floor == 0) set_outside(true, std::max<std::uint64_t>(1, message.total));
-  answer.term = kept.term;
+  if (voting.excluded && voting.readmit_after == 0)
+    set_outside(true, std::max<std::uint64_t>(1, message.total));
+  answer.term = voting.term;
   answer.flag = true;
   const std::uint64_t before = message.index;
   if (before > log.base() && log.term_at(before) != std::optional(message.index_term)) {
@@ -114,7 +115,7 @@
   }
   answer.index = std::max(before + entries.size(), before < log.base() ? log.base() : 0);
   answer.index_term = log.term_at(answer.index).value_or(0);
-  answer.offset = kept.outside ? 1 : 0;
+  answer.offset = voting.excluded ? 1 : 0;
   const bool news = hear(now, message);
   commit_to(now, std::min(message.commit, answer.index), out);
   send(from, answer, out);
@@ -122,12 +123,12 @@
 }
 
 void Record::State::on_appended(Time now, const std::string& from, const Message& message, Outbox& out) {
-  if (message.term > kept.term) {
+  if (message.term > voting.term) {
     leader.clear();
     if (adopt(message.term, "")) follow(now);
     return;
   }
-  if (role != Role::leader || message.term != kept.term || !peers.contains(from)) return;
+  if (role != Role::leader || message.term != voting.term || !peers.contains(from)) return;
   Peer& peer = peers[from];
   if (message.offset == 0) peer.contact = std::max(peer.contact, static_cast<Time>(message.beat));
   if (!message.flag) {
@@ -154,7 +155,7 @@
   std::ranges::sort(matches, std::greater<>());
   const std::uint64_t agreed = matches[matches.size() / 2];
   // Only entries of this term are counted; those before go with them (section 3.6.2).
-  if (agreed <= ledger.applied || log.term_at(agreed) != std::optional(kept.term)) return;
+  if (agreed <= ledger.applied || log.term_at(agreed) != std::optional(voting.term)) return;
   commit_to(now, agreed, out);
   if (!votes(settings.name)) return follow(now);  // it has led the change that takes itself out
   beat(now, out);
@@ -172,7 +173,7 @@
     apply(ledger, next, *command);
     after_applying(*command, was_voter);
   }
-  if (!kept.outside && catch_up && ledger.applied >= *catch_up) vouched = true;
+  if (!voting.excluded && catch_up && ledger.applied >= *catch_up) vouched = true;
   if (ledger.applied >= log.snapshot_index() + kCompactEvery) {
     if (!log.compact(ledger.applied, encode(ledger))) disk_failed = true;
   }
@@ -209,7 +210,7 @@
   }
   if (fresh.until <= now) return;
   grant = fresh;
-  grant_term = kept.term;
+  grant_term = voting.term;
   grant_beat = now;
 }
 
@@ -217,7 +218,7 @@
   if (offset >= log.snapshot().size()) offset = 0;
   Message chunk;
   chunk.kind = kChunk;
-  chunk.term = kept.term;
+  chunk.term = voting.term;
   chunk.index = log.snapshot_index();
   chunk.index_term = log.snapshot_term();
   chunk.offset = offset;
@@ -227,7 +228,7 @@
 }
 
 void Record::State::on_chunk(Time now, const std::string& from, Message& message, Outbox& out) {
-  if (message.term < kept.term && votes(settings.name)) return;
+  if (message.term < voting.term && votes(settings.name)) return;
   if (message.total > kLongestSnapshot || role == Role::leader) return;
   Message answer;
   answer.kind = kChunked;
@@ -267,7 +268,7 @@
     }
     return;
   }
-  if (role != Role::leader || message.term != kept.term || !peers.contains(from)) return;
+  if (role != Role::leader || message.term != voting.term || !peers.contains(from)) return;
   Peer& peer = peers[from];
   if (message.flag) {
     peer.chunk = 0;
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -41,7 +41,7 @@
   // ---- election.cpp
   void wait_anew(Time now);
   bool can_vote() const;
-  bool adopt(std::uint64_t term, const std::string& voted);  // false: the disk takes nothing
+  bool adopt(std::uint64_t term, const std::string& voted_for);  // false: the disk takes nothing
   void campaign(Time now, bool pre, Outbox& out);
   void on_ask(Time now, const std::string& from, const Message& message, Outbox& out);
   void on_answer(Time now, const std::string& from, const Message& message, Outbox& out);
@@ -50,7 +50,7 @@
   void say_hello(Time now, Outbox& out);
   void on_hello(Time now, const std::string& from, const Message& message, Outbox& out);
   void on_hello_back(const std::string& from, const Message& message);
-  void set_outside(bool outside, std::uint64_t floor);
+  void set_outside(bool excluded, std::uint64_t readmit_after);
 
   // ---- replication.cpp
   struct Peer {
@@ -108,7 +108,7 @@
   std::mt19937_64 random;
   Log log;
   Ledger ledger;
-  Disk::Term kept;
+  Disk::VotingState voting;
   bool disk_failed = false;
 
   Role role = Role::follower;
--- a/tests/fleet/record/cluster.h
+++ b/tests/fleet/record/cluster.h
@@ -16,12 +16,12 @@
 // Sees every vote that is kept: one a term, as long as the disk stands.
 class WatchedDisk : public MemoryDisk {
  public:
-  bool keep(const Term& term) override {
-    const Term before = contents().term;
-    if (term.term < before.term) throw std::logic_error("a term went back");
-    if (term.term == before.term && !before.voted.empty() && term.voted != before.voted)
-      throw std::logic_error("a second vote in term " + std::to_string(term.term));
-    return MemoryDisk::keep(term);
+  bool store_voting_state(const VotingState& state) override {
+    const VotingState before = contents().voting;
+    if (state.term < before.term) throw std::logic_error("a term went back");
+    if (state.term == before.term && !before.voted_for.empty() && state.voted_for != before.voted_for)
+      throw std::logic_error("a second vote in term " + std::to_string(state.term));
+    return MemoryDisk::store_voting_state(state);
   }
 };
 
--- a/tests/fleet/record/disk_test.cpp
+++ b/tests/fleet/record/disk_test.cpp
@@ -25,11 +25,11 @@
 };
 
 void same(const Disk::Contents& a, const Disk::Contents& b) {
-  CHECK(a.fresh == b.fresh);
-  CHECK(a.term.term == b.term.term);
-  CHECK(a.term.voted == b.term.voted);
-  CHECK(a.term.outside == b.term.outside);
-  CHECK(a.term.floor == b.term.floor);
+  CHECK(a.empty == b.empty);
+  CHECK(a.voting.term == b.voting.term);
+  CHECK(a.voting.voted_for == b.voting.voted_for);
+  CHECK(a.voting.excluded == b.voting.excluded);
+  CHECK(a.voting.readmit_after == b.voting.readmit_after);
   CHECK(a.snapshot_index == b.snapshot_index);
   CHECK(a.snapshot_term == b.snapshot_term);
   CHECK(a.snapshot == b.snapshot);
@@ -47,14 +47,15 @@
   Folder folder;
   auto disk = std::make_unique<LmdbDisk>(folder.path);
   MemoryDisk map;
-  CHECK(disk->load().fresh);
+  CHECK(disk->load().empty);
   std::mt19937_64 random(3);
   std::uint64_t last = 0, base = 0, term = 1;
   for (int step = 0; step < 120; ++step) {
     switch (random() % 4) {
       case 0: {
-        const Disk::Term kept{++term, "v" + std::to_string(random() % 3), random() % 2 == 0, random() % 9};
-        CHECK(disk->keep(kept) == map.keep(kept));
+        const Disk::VotingState kept{++term, "v" + std::to_string(random() % 3), random() % 2 == 0,
+                                     random() % 9};
+        CHECK(disk->store_voting_state(kept) == map.store_voting_state(kept));
         break;
       }
       case 1:
@@ -62,7 +63,7 @@
           base += 1 + random() % (last - base);
           const std::uint64_t of = random() % 4 == 0 ? 99 : 1;
           const std::string ledger(random() % 9000, 'l');
-          CHECK(disk->snapshot(base, of, ledger) == map.snapshot(base, of, ledger));
+          CHECK(disk->store_snapshot(base, of, ledger) == map.store_snapshot(base, of, ledger));
           last = map.contents().entries.empty() ? base : map.contents().entries.back().index;
         }
         break;
@@ -120,11 +121,11 @@
     REQUIRE(disk.append({{1, 1, "first"}}));
     CHECK_FALSE(disk.append({{2, 1, std::string(300 * 1024, 'x')}}));
     CHECK(disk.load().entries.size() == 1);
-    CHECK(disk.keep({4, "v1", false, 0}));
+    CHECK(disk.store_voting_state({4, "v1", false, 0}));
     CHECK_THROWS_WITH(LmdbDisk(folder.path),
                       "record: " + folder.path + "/record.lock is held by another process");
   }
-  CHECK(LmdbDisk(folder.path).load().term.term == 4);
+  CHECK(LmdbDisk(folder.path).load().voting.term == 4);
   CHECK_THROWS_WITH(
       LmdbDisk(folder.path + "/none"),
       "record: " + folder.path + "/none/record.lock cannot be opened: No such file or directory");
--- a/tests/fleet/record/record_test.cpp
+++ b/tests/fleet/record/record_test.cpp
@@ -113,7 +113,7 @@
     cluster.start(old);
     cluster.run(60 * kMillisecond);
     CHECK_FALSE(cluster.members[old].record->may_vote());
-    CHECK(cluster.members[old].disk->contents().term.outside);
+    CHECK(cluster.members[old].disk->contents().voting.excluded);
     cluster.run(5 * kSecond);
     CHECK(cluster.members[old].record->may_vote());
     CHECK(cluster.settled(20, kSecond));
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/nodes.h
@@ -15,20 +15,20 @@
 // A disk that keeps what it is told, over the deaths of its process.
 struct MapDisk : Disk {
   Contents kept;
-  bool keep(const Term& term) override {
-    kept.fresh = false;
-    kept.term = term;
+  bool store_voting_state(const VotingState& state) override {
+    kept.empty = false;
+    kept.voting = state;
     return true;
   }
   bool append(const std::vector<Entry>& entries) override {
-    kept.fresh = false;
+    kept.empty = false;
     for (const Entry& e : entries) {
       while (!kept.entries.empty() && kept.entries.back().index >= e.index) kept.entries.pop_back();
       kept.entries.push_back(e);
     }
     return true;
   }
-  bool snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override {
+  bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override {
     kept.snapshot_index = index;
     kept.snapshot_term = term;
     kept.snapshot = ledger;
--- a/tests/fleet/wallet/stored_test.cpp
+++ b/tests/fleet/wallet/stored_test.cpp
@@ -31,11 +31,11 @@
   StoredFiles stored;
   LmdbDisk disk(stored.path);
   const Disk::Contents kept = disk.load();
-  CHECK_FALSE(kept.fresh);
-  CHECK(kept.term.term == 7);
-  CHECK(kept.term.voted == "b2");
-  CHECK_FALSE(kept.term.outside);
-  CHECK(kept.term.floor == 3);
+  CHECK_FALSE(kept.empty);
+  CHECK(kept.voting.term == 7);
+  CHECK(kept.voting.voted_for == "b2");
+  CHECK_FALSE(kept.voting.excluded);
+  CHECK(kept.voting.readmit_after == 3);
   CHECK(kept.snapshot_index == 2);
   CHECK(kept.snapshot_term == 5);
   CHECK(kept.snapshot == "a ledger of the landed version");
