--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -139,7 +139,7 @@
     s.voters = {"boris"};
     if (role < NodeRole::learner) s.voters = {"alva", "boris", "celia"};
     s.routes_file = "routes.json", s.wallet_file = "wallet.json";
-    NodeParts parts;
+    NodeOptions parts;
     parts.settings = s;
     parts.calls = {{"ride"}, {}};
     parts.wallet = WalletSettings{};
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-Driver::Driver(net::Loop& loop, NodeParts parts, EnvelopeSealer sealer, metrics::Registry& m)
+Driver::Driver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& m)
     : loop_(loop),
       settings_(parts.settings),
       incarnation_(parts.incarnation),
--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -21,7 +21,7 @@
 class Driver {
  public:
   // Throws std::runtime_error with the address where it cannot be bound. parts.settings must be enabled.
-  Driver(net::Loop& loop, NodeParts parts, EnvelopeSealer sealer, metrics::Registry& metrics);
+  Driver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& metrics);
   ~Driver();
   Driver(const Driver&) = delete;
 
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -6,7 +6,7 @@
 
 namespace marblehub::fleet {
 
-Node::Node(NodeParts parts, Time now)
+Node::Node(NodeOptions parts, Time now)
     : view_(std::make_unique<View>(parts.settings, parts.incarnation, parts.seed, now)),
       record_(std::make_unique<Record>(parts.settings, parts.incarnation, parts.disk, parts.first_fleet,
                                        parts.seed ^ 0x9e3779b97f4a7c15, now)) {
@@ -58,7 +58,7 @@
     for (const auto& [name, member] : view_->members())
       if (member.status == MemberStatus::alive || member.status == MemberStatus::suspect)
         alive_.push_back(name);
-    record_->members(now, alive_, out);
+    record_->update_members(now, alive_, out);
   }
   // A leader of one applies what it proposes at once, and the next part is to see it in the same turn.
   // Bounded: whatever is left is stepped at next_due.
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -11,7 +11,7 @@
 
 namespace marblehub::fleet {
 
-struct NodeParts {
+struct NodeOptions {
   Settings settings;
   KnownCalls calls;
   std::optional<WalletSettings> wallet;
@@ -23,7 +23,7 @@
 
 class Node {
  public:
-  Node(NodeParts parts, Time now);
+  Node(NodeOptions parts, Time now);
   // Envelope::sent_at of a message that verified, before it is handed to `received`.
   void heard(Time now, const std::string& from, Time sent_at);
   void received(Time now, const std::string& from, Component component, std::string_view body,
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -63,7 +63,7 @@
                std::uint64_t seed, Time now)
     : state_(new State(settings, incarnation, disk, first_fleet, seed, now)) {}
 
-void Record::members(Time, const std::vector<std::string>& alive, Outbox&) {
+void Record::update_members(Time, const std::vector<std::string>& alive, Outbox&) {
   state_->alive = alive;
   std::erase(state_->alive, state_->settings.name);
 }
@@ -155,7 +155,7 @@
                                         : state_->voting.term;
 }
 std::string Record::leader() const { return state_->leader; }
-bool Record::majority(Time now) const {
+bool Record::has_majority(Time now) const {
   const State& state = *state_;
   if (state.voters().empty()) return false;
   if (state.role == Role::leader) return now - state.contact_of_majority(now) < 2 * state.election_timeout;
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -63,7 +63,7 @@
          std::uint64_t seed, Time now);
 
   // The view, whenever it changes: members that are there. Others' addresses are the owner's affair.
-  void members(Time now, const std::vector<std::string>& alive, Outbox& out);
+  void update_members(Time now, const std::vector<std::string>& alive, Outbox& out);
   void received(Time now, const std::string& from, std::string_view body, Outbox& out);
   void tick(Time now, Outbox& out);
   Time next_due() const;
@@ -76,8 +76,8 @@
   std::optional<Grant> grant() const;  // the newest heard; its holder judges whether it still holds
   Role role() const;
   std::uint64_t term() const;
-  std::string leader() const;     // empty: unknown
-  bool majority(Time now) const;  // a leader was heard within two election time-outs
+  std::string leader() const;         // empty: unknown
+  bool has_majority(Time now) const;  // a leader was heard within two election time-outs
   bool may_vote() const;  // false after a lost disk or one found old, until taken in anew; while it is full
 
  private:
--- a/src/fleet/routes/driver.cpp
+++ b/src/fleet/routes/driver.cpp
@@ -109,7 +109,7 @@
   if (offered_version_ == 0) return;
   const RouteState& routes = record.ledger().routes;
   // Without a grant and a leader this balancer's record may be old: what is newer cannot be told yet.
-  if (!record.grant() || !record.majority(now)) return due_at(now + kAgain);
+  if (!record.grant() || !record.has_majority(now)) return due_at(now + kAgain);
   const std::string why = stands_against(routes, offered_version_, offered_);
   if (!why.empty()) {
     last_refusal_ = settings_.routes_file + ": setting version: expected " + why;
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -83,8 +83,8 @@
 
 Service::~Service() { check::on_violation = nullptr; }
 
-NodeParts Service::parts(Files& files, const config::Startup& startup, Time now) {
-  NodeParts parts;
+NodeOptions Service::parts(Files& files, const config::Startup& startup, Time now) {
+  NodeOptions parts;
   parts.settings = settings_;
   parts.calls.classes = classes_;
   parts.incarnation = new_incarnation(settings_.data, now);
@@ -210,7 +210,7 @@
   Node& node = driver_.node();
   Time now = driver_.now();
   const Ledger& ledger = node.record().ledger();
-  majority_.set(settings_.voters.empty() || node.record().majority(now));
+  majority_.set(settings_.voters.empty() || node.record().has_majority(now));
   leads_.set(node.record().role() == Role::leader);
   no_vote_.set(disk_ && !node.record().may_vote());
   broken_parts_.set(static_cast<double>(broken_.size()));
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -49,7 +49,7 @@
     return classes_[static_cast<std::size_t>(call.request_class)];
   }
   Route route_of(Routes& routes, Time now, const core::Call& call);
-  NodeParts parts(Files& files, const config::Startup& startup, Time now);
+  NodeOptions parts(Files& files, const config::Startup& startup, Time now);
   Routes* followed_routes(const Files& next);
   Wallets* followed_wallets(const Files& next);
   void stepped();
--- a/tests/fleet/processes/node_main.cpp
+++ b/tests/fleet/processes/node_main.cpp
@@ -13,7 +13,7 @@
 constexpr fleet::Time kLastWords = 200'000;
 
 int serve(const std::string& file) {
-  fleet::NodeParts parts;
+  fleet::NodeOptions parts;
   parts.settings = fleet::settings_from(config::load_options(file), "n0");
   net::Loop loop;
   metrics::Registry metrics;
--- a/tests/fleet/processes/node_of_view.cpp
+++ b/tests/fleet/processes/node_of_view.cpp
@@ -8,7 +8,7 @@
 void Routes::Release::operator()(State*) const {}
 void Wallets::Release::operator()(State*) const {}
 
-Node::Node(NodeParts parts, Time now)
+Node::Node(NodeOptions parts, Time now)
     : view_(std::make_unique<View>(parts.settings, parts.incarnation, parts.seed, now)) {}
 void Node::heard(Time, const std::string&, Time) {}
 void Node::received(Time now, const std::string& from, Component component, std::string_view body,
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -21,7 +21,7 @@
 
 struct Alva {
   Alva() : port(free_port()) {
-    NodeParts parts;
+    NodeOptions parts;
     Settings& s = parts.settings;
     s.enabled = true;
     s.fleet = "tartu";
--- a/tests/fleet/random/world.h
+++ b/tests/fleet/random/world.h
@@ -94,7 +94,7 @@
   One& member(std::uint64_t i) { return members.at("m" + std::to_string(i % members.size())); }
 
   void start(One& one) {
-    NodeParts parts;
+    NodeOptions parts;
     parts.settings = one.settings;
     parts.calls = {{"ride", "park"}, {}};
     parts.wallet = wallet;
--- a/tests/fleet/record/cluster.h
+++ b/tests/fleet/record/cluster.h
@@ -62,7 +62,7 @@
                                              first_fleet, random(), now + member.offset);
     member.applied = 0;
     Outbox out;
-    member.record->members(now + member.offset, names, out);
+    member.record->update_members(now + member.offset, names, out);
     post(name, out);
   }
   void crash(const std::string& name) { members[name].record.reset(); }
--- a/tests/fleet/record/learning_test.cpp
+++ b/tests/fleet/record/learning_test.cpp
@@ -63,7 +63,7 @@
   CHECK(messages < 50 * 10 * 6);  // 4 grants and an ask in 2 s
   CHECK(octets < 50 * 10 * 600);
   CHECK(cluster.datagrams > 50 * 10 * 3);  // else it stalls behind a lost segment
-  for (auto& [name, member] : cluster.members) CHECK(member.record->majority(cluster.now));
+  for (auto& [name, member] : cluster.members) CHECK(member.record->has_majority(cluster.now));
 }
 
 TEST_CASE("a grant that is lost is asked for before the one before it is over") {
@@ -88,11 +88,11 @@
 TEST_CASE("an observer that hears nobody knows that it hears no majority") {
   Cluster cluster(14, 3, 2);
   cluster.run(2 * kSecond);
-  REQUIRE(cluster.members["o0"].record->majority(cluster.now));
+  REQUIRE(cluster.members["o0"].record->has_majority(cluster.now));
   cluster.cut({"o0"});
   cluster.run(2 * kSecond);
-  CHECK_FALSE(cluster.members["o0"].record->majority(cluster.now));
+  CHECK_FALSE(cluster.members["o0"].record->has_majority(cluster.now));
   cluster.silent.clear();
   cluster.run(kSecond);
-  CHECK(cluster.members["o0"].record->majority(cluster.now));
+  CHECK(cluster.members["o0"].record->has_majority(cluster.now));
 }
--- a/tests/fleet/record/record_test.cpp
+++ b/tests/fleet/record/record_test.cpp
@@ -16,7 +16,7 @@
   CHECK(cluster.settled(5, kSecond));
   for (auto& [name, member] : cluster.members) {
     CHECK(member.record->leader() == cluster.leader());
-    CHECK(member.record->majority(cluster.now));
+    CHECK(member.record->has_majority(cluster.now));
     REQUIRE(member.record->grant());
     CHECK(member.record->grant()->until > cluster.now);
   }
@@ -49,7 +49,7 @@
   cluster.run(3 * kSecond);
   const Settings settings;
   CHECK(cluster.members[leader].record->grant()->until <= cut_at + settings.lease / 2 + settings.lease);
-  CHECK_FALSE(cluster.members[leader].record->majority(cluster.now));
+  CHECK_FALSE(cluster.members[leader].record->has_majority(cluster.now));
   CHECK(cluster.leader() != leader);
 }
 
@@ -96,7 +96,7 @@
   cluster.run(10 * kSecond);
   CHECK_FALSE(cluster.members["v1"].record->may_vote());
   CHECK(cluster.members["v1"].record->role() != Role::leader);
-  CHECK_FALSE(cluster.members["v2"].record->majority(cluster.now));
+  CHECK_FALSE(cluster.members["v2"].record->has_majority(cluster.now));
 }
 
 TEST_CASE("a voter on an old copy of its disk is found out by those that remember") {
--- a/tests/fleet/routes/agreed.cpp
+++ b/tests/fleet/routes/agreed.cpp
@@ -149,7 +149,7 @@
   };
 }
 
-void Record::members(Time, const std::vector<std::string>&, Outbox&) {}
+void Record::update_members(Time, const std::vector<std::string>&, Outbox&) {}
 void Record::received(Time, const std::string&, std::string_view, Outbox&) {}
 
 void Record::tick(Time now, Outbox&) {
@@ -183,7 +183,7 @@
 }
 std::uint64_t Record::term() const { return state_->term; }
 std::string Record::leader() const { return state_->world->leader; }
-bool Record::majority(Time) const {
+bool Record::has_majority(Time) const {
   return state_->heard_at >= 0 && state_->world->now - state_->heard_at < 500 * kMillisecond;
 }
 bool Record::may_vote() const { return false; }
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/nodes.h
@@ -96,7 +96,7 @@
 
   void start(const std::string& name) {
     One& one = members.at(name);
-    NodeParts parts;
+    NodeOptions parts;
     parts.settings = one.settings;
     parts.calls = {{"ride", "park"}, {}};
     const auto& voters = one.settings.voters;
