--- a/bench/fleet_record.cpp
+++ b/bench/fleet_record.cpp
@@ -65,7 +65,7 @@
     std::size_t kind = 0;
     if (e.what.component == Component::record) {
       fb::MessageT message;
-      if (!unsealed(e.what.body, message)) return;
+      if (!decode_with_checksum(e.what.body, message)) return;
       kind = std::min<std::size_t>(message.kind, kMostKinds - 1);
     }
     const auto& from = nodes_.members.at(e.from);
--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -41,7 +41,7 @@
 
 /// The input followed by the hash that the record's messages and stored entries end with.
 inline std::string with_checksum(std::string_view payload) {
-  const std::uint64_t hash = hash_of(payload);
+  const std::uint64_t hash = fnv1a_hash(payload);
   return std::string(payload).append(reinterpret_cast<const char*>(&hash), sizeof hash);
 }
 
@@ -108,7 +108,7 @@
   }
   for (const std::string& input : {std::string(bytes), with_checksum(bytes)}) {
     Message message;
-    decoded |= unsealed(input, message);
+    decoded |= decode_with_checksum(input, message);
     Command command, command_again;
     if (decode(input, command)) {
       decoded = true;
@@ -159,7 +159,7 @@
       first.leader = "boris";
       auto& entry = *first.entries.emplace_back(std::make_unique<fb::EntryT>());
       entry.index = entry.term = 1;
-      deliver("boris", Component::record, sealed(first), Transport::stream);
+      deliver("boris", Component::record, encode_with_checksum(first), Transport::stream);
       require(node->record().ledger().applied == 1);
     }
   }
@@ -171,7 +171,8 @@
     for (std::size_t at = 0; boris_replies && at < out.size(); ++at) {
       const Outgoing each = out[at];
       Message request, reply;
-      if (each.to != "boris" || each.component != Component::record || !unsealed(each.body, request))
+      if (each.to != "boris" || each.component != Component::record ||
+          !decode_with_checksum(each.body, request))
         continue;
       reply.flag = true;
       reply.term = request.term;
@@ -180,7 +181,7 @@
       reply.offset = request.kind == kAsk && request.flag;
       reply.index = request.kind == kAsk ? 0 : request.index + request.entries.size();
       if (request.kind == kAsk || request.kind == kAppend)
-        node->received(now, "boris", Component::record, sealed(reply), Transport::stream, out);
+        node->received(now, "boris", Component::record, encode_with_checksum(reply), Transport::stream, out);
     }
   }
   /// Delivers a message and requires that the node's answers are within the size limit.
--- a/src/fleet/record/command.cpp
+++ b/src/fleet/record/command.cpp
@@ -32,7 +32,7 @@
   if (body.members.empty()) return numbered(body.version) + " names no member";
   for (std::uint64_t standing : {routes.in_force, routes.next, routes.staged})
     if (body.version <= standing) return numbered(body.version) + " is not above " + std::to_string(standing);
-  const std::uint64_t text = hash_of(body.text);
+  const std::uint64_t text = fnv1a_hash(body.text);
   // A yes to the same number but to another text may still be on its way.
   if (body.version < routes.max_proposed)
     return numbered(body.version) + " is not above " + std::to_string(routes.max_proposed) +
--- a/src/fleet/record/command_octets.cpp
+++ b/src/fleet/record/command_octets.cpp
@@ -68,12 +68,12 @@
   table.kind = static_cast<std::uint8_t>(command.body.index());
   std::visit([&](const auto& body) { places(body, table, [](const auto& from, auto& to) { to = from; }); },
              command.body);
-  return sealed(table);
+  return encode_with_checksum(table);
 }
 
 bool decode(std::string_view octets, Command& into) {
   fb::CommandT table;
-  if (!unsealed(octets, table) || !of_kind(table.kind, into.body)) return false;
+  if (!decode_with_checksum(octets, table) || !of_kind(table.kind, into.body)) return false;
   into.id = {table.sender, table.incarnation, table.number};
   std::visit([&](auto& body) { places(body, table, [](auto& to, auto& from) { to = std::move(from); }); },
              into.body);
@@ -113,12 +113,12 @@
     sender->number = named.second.number;
     return sender;
   });
-  return sealed(table);
+  return encode_with_checksum(table);
 }
 
 bool decode(std::string_view octets, Ledger& into) {
   fb::LedgerT table;
-  if (!unsealed(octets, table)) return false;
+  if (!decode_with_checksum(octets, table)) return false;
   into = {};
   RouteState& routes = into.routes;
   into.applied = table.applied;
@@ -141,6 +141,6 @@
   return true;
 }
 
-std::uint64_t digest(const Ledger& ledger) { return hash_of(encode(ledger)); }
+std::uint64_t digest(const Ledger& ledger) { return fnv1a_hash(encode(ledger)); }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/record/lmdb_disk.cpp
+++ b/src/fleet/record/lmdb_disk.cpp
@@ -40,7 +40,7 @@
 }
 
 int store(MDB_txn* txn, MDB_dbi table, const std::string& key, std::string record) {
-  put(record, hash_of(key + record));
+  put(record, fnv1a_hash(key + record));
   MDB_val name = val(key), value = val(record);
   return mdb_put(txn, table, &name, &value, 0);
 }
@@ -177,7 +177,7 @@
       std::memcpy(&hash, octets.data() + octets.size() - sizeof hash, sizeof hash);
       octets.remove_suffix(sizeof hash);
     }
-    if (hash != hash_of(name + std::string(octets))) refuse("a record is torn or flipped");
+    if (hash != fnv1a_hash(name + std::string(octets))) refuse("a record is torn or flipped");
     contents.empty = false;
     if (name == "T") {
       contents.voting.term = take(octets);
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -54,7 +54,7 @@
 }
 
 void Record::State::send(const std::string& to, Message& message, Outbox& out, Transport by) const {
-  out.push_back({to, Component::record, by, sealed(message)});
+  out.push_back({to, Component::record, by, encode_with_checksum(message)});
 }
 
 void Record::Release::operator()(State* state) const { delete state; }
@@ -71,7 +71,7 @@
 void Record::received(Time now, const std::string& from, std::string_view body, Outbox& out) {
   State& state = *state_;
   Message message;
-  if (!unsealed(body, message) || from == state.settings.name) return;
+  if (!decode_with_checksum(body, message) || from == state.settings.name) return;
   switch (message.kind) {
     case kAsk:
       return state.on_ask(now, from, message, out);
--- a/src/fleet/routes/driver.cpp
+++ b/src/fleet/routes/driver.cpp
@@ -42,7 +42,7 @@
   const std::uint64_t newest = std::max({routes.in_force, routes.next, routes.max_proposed});
   const std::string* recorded = text_of(routes, version);
   if (version > newest || (recorded && *recorded == text)) return {};
-  if (version == routes.max_proposed && hash_of(text) == routes.max_proposed_hash)
+  if (version == routes.max_proposed && fnv1a_hash(text) == routes.max_proposed_hash)
     return {};  // aborted before: again
   return "above " + std::to_string(newest) + ", which was proposed before";
 }
@@ -56,14 +56,14 @@
   if (table.version == 0) return 0;
   const std::string why = stands_against(routes, table.version, text);
   // Words taken before are no news, however old they are by now: a reload for another file's sake reads them.
-  if (!why.empty() && hash_of(text) == taken_) return 0;
+  if (!why.empty() && fnv1a_hash(text) == taken_) return 0;
   if (!why.empty()) config::Options({}, file + ": ").refuse("version", why);
   return text_of(routes, table.version) ? 0 : table.version;
 }
 
 void Driver::offer(Time, const std::string& text, const RouteState& routes) {
   const std::uint64_t version = newer(text, routes);
-  taken_ = hash_of(text);
+  taken_ = fnv1a_hash(text);
   if (version == 0) return;
   offered_ = text;
   offered_version_ = version;
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -67,7 +67,7 @@
       if (kind == kForward) m.names = commands();
       if (kind == kElsewhere) m.names = {"boris", "celia", "dora"};
       if (kind == kChunk) m.index = 40, m.bytes = ledger_of(40), m.total = m.bytes.size();
-      all.push_back(unhashed(sealed(m)));
+      all.push_back(unhashed(encode_with_checksum(m)));
     }
   return all;
 }
@@ -141,7 +141,7 @@
   append.term = append.index = append.index_term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = 2, entry.term = 1, entry.command = "of a later program";
-  fuzzed.deliver("boris", Component::record, sealed(append), Transport::stream);
+  fuzzed.deliver("boris", Component::record, encode_with_checksum(append), Transport::stream);
   for (int turn = 0; turn < 8; ++turn) fuzzed.step(false);
   CHECK(fuzzed.node->record().ledger().applied == 1);
 }
--- a/tests/fleet/random/rules_test.cpp
+++ b/tests/fleet/random/rules_test.cpp
@@ -21,7 +21,7 @@
   // What it says to boris on hearing this from him.
   std::vector<Message> hear(Message& message) {
     Outbox out;
-    record->received(now, "boris", sealed(message), out);
+    record->received(now, "boris", encode_with_checksum(message), out);
     return to_boris(out);
   }
   std::vector<Message> tick() {
@@ -33,7 +33,7 @@
     std::vector<Message> all;
     for (const Outgoing& each : out) {
       Message message;
-      REQUIRE(unsealed(each.body, message));
+      REQUIRE(decode_with_checksum(each.body, message));
       if (each.to == "boris") all.push_back(message);
     }
     return all;
