--- a/fuzz/fleet_readers.h
+++ b/fuzz/fleet_readers.h
@@ -153,9 +153,9 @@
     } else {
       step(false);
       Message first;
-      first.kind = role == NodeRole::follower ? kAppend : kLearnt;
+      first.kind = role == NodeRole::follower ? kAppendRequest : kLearnUpdate;
       first.term = first.commit = first.total = 1;
-      first.beat = now;
+      first.heartbeat = now;
       first.leader = "boris";
       auto& entry = *first.entries.emplace_back(std::make_unique<fb::EntryT>());
       entry.index = entry.term = 1;
@@ -176,11 +176,11 @@
         continue;
       reply.flag = true;
       reply.term = request.term;
-      reply.beat = request.beat;
-      reply.kind = request.kind == kAsk ? kAnswer : kAppended;
-      reply.offset = request.kind == kAsk && request.flag;
-      reply.index = request.kind == kAsk ? 0 : request.index + request.entries.size();
-      if (request.kind == kAsk || request.kind == kAppend)
+      reply.heartbeat = request.heartbeat;
+      reply.kind = request.kind == kVoteRequest ? kVoteReply : kAppendReply;
+      reply.offset = request.kind == kVoteRequest && request.flag;
+      reply.index = request.kind == kVoteRequest ? 0 : request.index + request.entries.size();
+      if (request.kind == kVoteRequest || request.kind == kAppendRequest)
         node->received(now, "boris", Component::record, encode_with_checksum(reply), Transport::stream, out);
     }
   }
--- a/src/fleet/record/election.cpp
+++ b/src/fleet/record/election.cpp
@@ -58,7 +58,7 @@
   yes = {settings.name};
   wait_anew(now);
   Message ask;
-  ask.kind = kAsk;
+  ask.kind = kVoteRequest;
   ask.flag = pre;
   ask.term = voting.term + (pre ? 1 : 0);
   ask.index = log.last();
@@ -72,8 +72,8 @@
 }
 
 void Record::State::on_ask(Time now, const std::string& from, const Message& message, Outbox& out) {
-  Place& place = known[from];
-  place = std::max(place, Place{message.index_term, message.index});
+  LogPosition& place = known[from];
+  place = std::max(place, LogPosition{message.index_term, message.index});
   if (!message.flag) known_term[from] = std::max(known_term[from], message.term);
   if (!can_vote()) return;
   // Who hears a leader, or may have before it restarted, takes part in no election: leases rest on it.
@@ -81,9 +81,10 @@
                                         : now - heard < election_timeout;
   if (led) return;
   Message answer;
-  answer.kind = kAnswer;
+  answer.kind = kVoteReply;
   answer.offset = message.flag ? 1 : 0;
-  const bool newer = Place{message.index_term, message.index} >= Place{log.last_term(), log.last()};
+  const bool newer =
+      LogPosition{message.index_term, message.index} >= LogPosition{log.last_term(), log.last()};
   if (message.flag) {
     answer.flag = newer && message.term > voting.term;
   } else {
@@ -103,7 +104,7 @@
 
 void Record::State::on_answer(Time now, const std::string& from, const Message& message, Outbox& out) {
   const bool pre = message.offset == 1;
-  known[from] = std::max(known[from], Place{message.index_term, message.index});
+  known[from] = std::max(known[from], LogPosition{message.index_term, message.index});
   if (!pre) known_term[from] = std::max(known_term[from], message.term);
   if (!message.flag && message.term > voting.term) {
     if (adopt(message.term, "")) follow(now);
@@ -132,14 +133,14 @@
     if (const auto& command = log.at(index).command) logged[command->id.sender] = command->id;
   if (!append_own(std::nullopt)) return follow(now);
   term_start = log.last();
-  beat(now, out);
+  broadcast_heartbeat(now, out);
   advance(now, out);
 }
 
 void Record::State::say_hello(Time now, Outbox& out) {
   due_hello = now + pulse * 2;
   Message hello;
-  hello.kind = kHello;
+  hello.kind = kRejoinRequest;
   hello.flag = voting.excluded;
   hello.index = voting.excluded ? ledger.applied : log.last();
   hello.index_term = log.last_term();
@@ -153,7 +154,7 @@
 void Record::State::on_hello(Time now, const std::string& from, const Message& message, Outbox& out) {
   if (disk == nullptr) return;
   Message back;
-  back.kind = kHelloBack;
+  back.kind = kRejoinReply;
   back.term = known_term[from];
   back.index = known[from].index;
   back.index_term = known[from].term;
@@ -184,7 +185,7 @@
 
 void Record::State::on_hello_back(const std::string& from, const Message& message) {
   if (vouched || voting.excluded) return;
-  const Place told{message.index_term, message.index}, here{log.last_term(), log.last()};
+  const LogPosition told{message.index_term, message.index}, here{log.last_term(), log.last()};
   if (told > here || message.term > voting.term) return set_outside(true, 0);  // this disk is an old copy
   if (message.flag) return;  // there is a leader: its word is waited for
   // The leader has all that was ever agreed; once this one has it too, nothing that it forgot matters.
--- a/src/fleet/record/learning.cpp
+++ b/src/fleet/record/learning.cpp
@@ -24,26 +24,27 @@
   auto lease = std::make_unique<fb::LeaseT>();
   lease->version = grant->version, lease->next = grant->next;
   lease->until = grant->until, lease->activation_time = grant->activation_time;
-  if (grant_term != message.term || grant_beat != message.beat)
-    lease->term = grant_term, lease->beat = grant_beat;
+  if (grant_term != message.term || grant_beat != message.heartbeat)
+    lease->term = grant_term, lease->heartbeat = grant_beat;
   message.lease = std::move(lease);
 }
 
 bool Record::State::hear(Time now, const Message& message) {
   if (message.lease != nullptr) {
     const fb::LeaseT& lease = *message.lease;
-    const std::pair granted = lease.term != 0 ? std::pair(lease.term, lease.beat)  //
-                                              : std::pair(message.term, message.beat);
+    const std::pair granted = lease.term != 0 ? std::pair(lease.term, lease.heartbeat)  //
+                                              : std::pair(message.term, message.heartbeat);
     if (granted > std::pair(grant_term, static_cast<std::int64_t>(grant_beat))) {
       grant = Grant{lease.version, lease.next, lease.until, lease.activation_time};
       grant_term = granted.first;
       grant_beat = granted.second;
     }
   }
-  if (std::pair(message.term, message.beat) <= std::pair(beat_term, static_cast<std::int64_t>(beat_sent)))
+  if (std::pair(message.term, message.heartbeat) <=
+      std::pair(beat_term, static_cast<std::int64_t>(beat_sent)))
     return false;
   beat_term = message.term;
-  beat_sent = message.beat;
+  beat_sent = message.heartbeat;
   beat_heard = answered = now;
   if (!message.leader.empty()) leader = message.leader;
   return true;
@@ -54,10 +55,10 @@
   asked = now;
   due_learn = std::max(now + pulse, answered + (kGrant + 1) * pulse);
   Message ask;
-  ask.kind = kLearn;
+  ask.kind = kLearnRequest;
   ask.index = ledger.applied;
   ask.term = beat_term;
-  ask.beat = beat_sent;
+  ask.heartbeat = beat_sent;
   send(upstream, ask, out);
 }
 
@@ -82,7 +83,7 @@
       role != Role::leader && (leader.empty() || now - beat_heard > kStale * pulse || from == upstream);
   if (stale || (standing == learners.end() && learners.size() >= kMostLearners)) {
     Message elsewhere;
-    elsewhere.kind = kElsewhere;
+    elsewhere.kind = kLearnRedirect;
     if (!stale)
       for (const auto& [name, learner] : learners) elsewhere.names.push_back(name);
     return send(from, elsewhere, out);
@@ -93,9 +94,9 @@
   // It asks where it misses something, and what was pushed since is sent again then.
   learner.have = message.index;
   const std::uint64_t term = role == Role::leader ? voting.term : beat_term;
-  const Time beat = role == Role::leader ? due_beat - pulse : beat_sent;
+  const Time heartbeat = role == Role::leader ? due_beat - pulse : beat_sent;
   if (fresh || message.index < ledger.applied ||
-      std::pair(message.term, static_cast<Time>(message.beat)) < std::pair(term, beat))
+      std::pair(message.term, static_cast<Time>(message.heartbeat)) < std::pair(term, heartbeat))
     push(now, from, learner, true, out);
 }
 
@@ -103,9 +104,9 @@
 void Record::State::push(Time now, const std::string& to, Learner& learner, bool answer, Outbox& out) {
   if (learner.have < log.base()) return send_chunk(to, 0, out);
   Message news;
-  news.kind = kLearnt;
+  news.kind = kLearnUpdate;
   news.term = role == Role::leader ? voting.term : beat_term;
-  news.beat = role == Role::leader ? due_beat - pulse : beat_sent;
+  news.heartbeat = role == Role::leader ? due_beat - pulse : beat_sent;
   news.commit = ledger.applied;
   put_lease(news);
   news.entries = entries_from(learner.have + 1, ledger.applied);
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -73,29 +73,29 @@
   Message message;
   if (!decode_with_checksum(body, message) || from == state.settings.name) return;
   switch (message.kind) {
-    case kAsk:
+    case kVoteRequest:
       return state.on_ask(now, from, message, out);
-    case kAnswer:
+    case kVoteReply:
       return state.on_answer(now, from, message, out);
-    case kAppend:
+    case kAppendRequest:
       return state.on_append(now, from, message, out);
-    case kAppended:
+    case kAppendReply:
       return state.on_appended(now, from, message, out);
-    case kChunk:
+    case kSnapshotChunk:
       return state.on_chunk(now, from, message, out);
-    case kChunked:
+    case kSnapshotReply:
       return state.on_chunked(now, from, message, out);
     case kForward:
       return state.on_forward(now, message, out);
-    case kLearn:
+    case kLearnRequest:
       return state.on_learn(now, from, message, out);
-    case kLearnt:
+    case kLearnUpdate:
       return state.on_learnt(now, from, message, out);
-    case kElsewhere:
+    case kLearnRedirect:
       return state.on_elsewhere(now, from, message, out);
-    case kHello:
+    case kRejoinRequest:
       return state.on_hello(now, from, message, out);
-    case kHelloBack:
+    case kRejoinReply:
       return state.on_hello_back(from, message);
     default:
       return;  // of a newer schema
@@ -111,7 +111,7 @@
   }
   const bool voter = state.disk != nullptr && state.votes(state.settings.name);
   if (state.role == Role::leader) {
-    if (state.due_beat <= now) state.beat(now, out);
+    if (state.due_beat <= now) state.broadcast_heartbeat(now, out);
   } else if (voter) {
     if (state.role == Role::observer) state.follow(now);
     if (state.due_campaign <= now) {
--- a/src/fleet/record/replication.cpp
+++ b/src/fleet/record/replication.cpp
@@ -32,7 +32,7 @@
   return entries;
 }
 
-void Record::State::beat(Time now, Outbox& out) {
+void Record::State::broadcast_heartbeat(Time now, Outbox& out) {
   due_beat = now + pulse;
   if (voters().size() > 1 && now - contact_of_majority(now) > 2 * election_timeout) {
     leader.clear();  // others may have chosen already
@@ -55,9 +55,9 @@
     peer.contact = now - election_timeout;
   }
   Message append;
-  append.kind = kAppend;
+  append.kind = kAppendRequest;
   append.term = voting.term;
-  append.beat = now;
+  append.heartbeat = now;
   append.commit = ledger.applied;
   append.total = log.last();
   put_lease(append);
@@ -75,8 +75,8 @@
 
 void Record::State::on_append(Time now, const std::string& from, Message& message, Outbox& out) {
   Message answer;
-  answer.kind = kAppended;
-  answer.beat = message.beat;
+  answer.kind = kAppendReply;
+  answer.heartbeat = message.heartbeat;
   answer.term = voting.term;
   if (message.term < voting.term) return send(from, answer, out);
   if (message.term > voting.term) {
@@ -130,13 +130,13 @@
   }
   if (role != Role::leader || message.term != voting.term || !peers.contains(from)) return;
   Peer& peer = peers[from];
-  if (message.offset == 0) peer.contact = std::max(peer.contact, static_cast<Time>(message.beat));
+  if (message.offset == 0) peer.contact = std::max(peer.contact, static_cast<Time>(message.heartbeat));
   if (!message.flag) {
     peer.next = std::min(message.index, log.last()) + 1;
     if (peer.next > log.base()) send_append(now, from, out);
     return;  // else the next beat sends the snapshot
   }
-  known[from] = std::max(known[from], Place{message.index_term, message.index});
+  known[from] = std::max(known[from], LogPosition{message.index_term, message.index});
   known_term[from] = std::max(known_term[from], message.term);
   if (message.index > log.last()) return;
   // An outsider's word is not counted: what it said before it lost its disk no longer holds.
@@ -158,7 +158,7 @@
   if (agreed <= ledger.applied || log.term_at(agreed) != std::optional(voting.term)) return;
   commit_to(now, agreed, out);
   if (!votes(settings.name)) return follow(now);  // it has led the change that takes itself out
-  beat(now, out);
+  broadcast_heartbeat(now, out);
 }
 
 void Record::State::commit_to(Time, std::uint64_t index, Outbox&) {
@@ -217,7 +217,7 @@
 void Record::State::send_chunk(const std::string& to, std::uint64_t offset, Outbox& out) {
   if (offset >= log.snapshot().size()) offset = 0;
   Message chunk;
-  chunk.kind = kChunk;
+  chunk.kind = kSnapshotChunk;
   chunk.term = voting.term;
   chunk.index = log.snapshot_index();
   chunk.index_term = log.snapshot_term();
@@ -231,12 +231,13 @@
   if (message.term < voting.term && votes(settings.name)) return;
   if (message.total > kLongestSnapshot || role == Role::leader) return;
   Message answer;
-  answer.kind = kChunked;
+  answer.kind = kSnapshotReply;
   answer.term = message.term;
   answer.index = message.index;
-  const Place place{message.index_term, message.index};
+  const LogPosition place{message.index_term, message.index};
   if (message.index > ledger.applied) {
-    if (Place{assembly.term, assembly.index} != place) assembly = {message.index, message.index_term, {}};
+    if (LogPosition{assembly.term, assembly.index} != place)
+      assembly = {message.index, message.index_term, {}};
     if (message.offset == assembly.octets.size()) assembly.octets += message.bytes;
     answer.offset = assembly.octets.size();
     if (assembly.octets.size() == message.total) {
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -10,28 +10,28 @@
 
 namespace marblehub::fleet {
 
-enum Kind : std::uint8_t {
-  kAsk = 1,    // for a vote, flag: pre-vote; index and index_term of the last entry
-  kAnswer,     // flag: yes, offset 1: to a pre-vote
-  kAppend,     // leader to voter: entries behind index/index_term, commit, lease; empty: a heartbeat
-  kAppended,   // flag: taken up to index; else the leader goes back to index. beat: of what it answers
-  kChunk,      // of a snapshot, to voters and learners: bytes at offset of total
-  kChunked,    // the next offset wanted of the snapshot at index
-  kForward,    // commands on their way to the leader, at most 8 hops
-  kLearn,      // "give me what follows index, or is newer than term and beat": at first, where something is
-               // missing, and each 2 s of 50 ms beats; a learner not heard for 2.5 s is forgotten
-  kLearnt,     // committed entries, commit, lease; pushed whenever there is news, and a grant each 5 beats
-  kElsewhere,  // full, or nothing new here: names of those to try
-  kHello,      // a voter after its start, or outside: index and index_term it has, flag: outside
-  kHelloBack,  // what its asker is known to have had: term, index, index_term; flag: ask the leader, not me;
-               // total: from the leader, what it has applied
+enum RecordMessageType : std::uint8_t {
+  kVoteRequest = 1,  // for a vote, flag: pre-vote; index and index_term of the last entry
+  kVoteReply,        // flag: yes, offset 1: to a pre-vote
+  kAppendRequest,    // leader to voter: entries behind index/index_term, commit, lease; empty: a heartbeat
+  kAppendReply,      // flag: taken up to index; else the leader goes back to index. beat: of what it answers
+  kSnapshotChunk,    // of a snapshot, to voters and learners: bytes at offset of total
+  kSnapshotReply,    // the next offset wanted of the snapshot at index
+  kForward,          // commands on their way to the leader, at most 8 hops
+  kLearnRequest,  // "give me what follows index, or is newer than term and beat": at first, where something
+                  // is missing, and each 2 s of 50 ms beats; a learner not heard for 2.5 s is forgotten
+  kLearnUpdate,  // committed entries, commit, lease; pushed whenever there is news, and a grant each 5 beats
+  kLearnRedirect,  // full, or nothing new here: names of those to try
+  kRejoinRequest,  // a voter after its start, or outside: index and index_term it has, flag: outside
+  kRejoinReply,    // what its asker is known to have had: term, index, index_term; flag: ask the leader, not
+                 // me; total: from the leader, what it has applied
 };
 
 using Message = fb::MessageT;
 
-struct Place {  // a point of the log; a voter's last one never goes back
+struct LogPosition {  // a point of the log; a voter's last one never goes back
   std::uint64_t term = 0, index = 0;
-  auto operator<=>(const Place&) const = default;
+  auto operator<=>(const LogPosition&) const = default;
 };
 
 struct Record::State {
@@ -58,7 +58,7 @@
     Time contact = 0;  // when that was sent which it answered last
     std::uint64_t chunk = 0;
   };
-  void beat(Time now, Outbox& out);
+  void broadcast_heartbeat(Time now, Outbox& out);
   void send_append(Time now, const std::string& to, Outbox& out);
   void on_append(Time now, const std::string& from, Message& message, Outbox& out);
   void on_appended(Time now, const std::string& from, const Message& message, Outbox& out);
@@ -124,8 +124,8 @@
   bool vouched =
       false;  // nothing newer under this name is known to a majority, or all is here that a leader had
   std::set<std::string> vouchers;
-  std::optional<std::uint64_t> catch_up;  // what the leader had applied when it first answered
-  std::map<std::string, Place> known;     // what each voter said it had
+  std::optional<std::uint64_t> catch_up;     // what the leader had applied when it first answered
+  std::map<std::string, LogPosition> known;  // what each voter said it had
   std::map<std::string, std::uint64_t> known_term;
 
   std::optional<Grant> grant;
--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -44,20 +44,21 @@
 // Messages as a member would send them to one in term 1 with a log of an entry or two, without their hash.
 std::vector<std::string> of_record() {
   std::vector<std::string> all;
-  for (int kind = kAsk; kind <= kHelloBack; ++kind)
+  for (int kind = kVoteRequest; kind <= kRejoinReply; ++kind)
     for (std::uint64_t term : {1, 2}) {
       Message m;
       m.kind = static_cast<std::uint8_t>(kind);
       m.term = term;
       m.index = m.index_term = 1;
       m.commit = 12, m.total = 13;
-      m.beat = kStart + 20 * kSecond;
+      m.heartbeat = kStart + 20 * kSecond;
       m.flag = term == 2;
       m.leader = "boris";
       m.lease = std::make_unique<fb::LeaseT>();
-      m.lease->version = 1, m.lease->next = 2, m.lease->term = term, m.lease->beat = m.beat;
-      m.lease->until = m.beat + 600 * kMillisecond, m.lease->activation_time = m.beat + 100 * kMillisecond;
-      if (kind == kAppend || kind == kLearnt)
+      m.lease->version = 1, m.lease->next = 2, m.lease->term = term, m.lease->heartbeat = m.heartbeat;
+      m.lease->until = m.heartbeat + 600 * kMillisecond,
+      m.lease->activation_time = m.heartbeat + 100 * kMillisecond;
+      if (kind == kAppendRequest || kind == kLearnUpdate)
         for (const std::string& command : commands()) {
           auto& entry = *m.entries.emplace_back(std::make_unique<fb::EntryT>());
           entry.index = 1 + m.entries.size();
@@ -65,8 +66,8 @@
           entry.command = command;
         }
       if (kind == kForward) m.names = commands();
-      if (kind == kElsewhere) m.names = {"boris", "celia", "dora"};
-      if (kind == kChunk) m.index = 40, m.bytes = ledger_of(40), m.total = m.bytes.size();
+      if (kind == kLearnRedirect) m.names = {"boris", "celia", "dora"};
+      if (kind == kSnapshotChunk) m.index = 40, m.bytes = ledger_of(40), m.total = m.bytes.size();
       all.push_back(unhashed(encode_with_checksum(m)));
     }
   return all;
@@ -137,7 +138,7 @@
 TEST_CASE("who has no disk stands an append whose entry is no command", "[mutation]") {
   FuzzedNode fuzzed(NodeRole::without_disk);
   Message append;
-  append.kind = kAppend;
+  append.kind = kAppendRequest;
   append.term = append.index = append.index_term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = 2, entry.term = 1, entry.command = "of a later program";
--- a/tests/fleet/random/rules_test.cpp
+++ b/tests/fleet/random/rules_test.cpp
@@ -40,7 +40,7 @@
   }
   std::vector<Message> ask(std::uint64_t term) {  // a real vote, not the question before it
     Message m;
-    m.kind = kAsk;
+    m.kind = kVoteRequest;
     m.term = term;
     m.index = m.index_term = 9;
     return hear(m);
@@ -56,11 +56,11 @@
   std::vector<Message> lead() {
     now = record->next_due();
     tick();
-    Message pre = answer(kAnswer);
+    Message pre = answer(kVoteReply);
     pre.term += 1;
     pre.offset = 1;
     hear(pre);
-    Message vote = answer(kAnswer);
+    Message vote = answer(kVoteReply);
     auto said = hear(vote);
     REQUIRE(record->role() == Role::leader);
     return said;
@@ -88,7 +88,7 @@
 
 TEST_CASE("who hears a leader gives no vote, though no question came before it") {
   Voter voter;
-  Message append = voter.answer(kAppend);
+  Message append = voter.answer(kAppendRequest);
   append.term = 1;
   voter.hear(append);
   votes_only_after_election_timeout(voter);
@@ -96,11 +96,11 @@
 
 TEST_CASE("a voter that starts gives no vote before it would have missed a leader") {
   Voter voter;
-  Message append = voter.answer(kAppend);
+  Message append = voter.answer(kAppendRequest);
   append.term = 1;
   voter.hear(append);
-  voter.start(false);                               // at the moment at which it had heard one
-  Message known = voter.answer(kHelloBack, false);  // boris follows nobody
+  voter.start(false);                                 // at the moment at which it had heard one
+  Message known = voter.answer(kRejoinReply, false);  // boris follows nobody
   voter.hear(known);
   REQUIRE(voter.record->may_vote());
   votes_only_after_election_timeout(voter);
@@ -110,18 +110,18 @@
   Voter leader;
   const auto said = leader.lead();
   REQUIRE_FALSE(said.empty());
-  Message taken = leader.answer(kAppended);
+  Message taken = leader.answer(kAppendReply);
   taken.index = 1;
-  taken.beat = said.back().beat;
+  taken.heartbeat = said.back().heartbeat;
   leader.hear(taken);
   leader.tick();
   REQUIRE(leader.record->grant());
   const Time until = leader.record->grant()->until;
-  leader.now = taken.beat + kElectionTimeout;  // boris may have voted for another by now
-  leader.hear(taken);                          // again: the network had kept a copy
+  leader.now = taken.heartbeat + kElectionTimeout;  // boris may have voted for another by now
+  leader.hear(taken);                               // again: the network had kept a copy
   leader.tick();
   CHECK(leader.record->grant()->until == until);
-  taken.beat = leader.now;
+  taken.heartbeat = leader.now;
   leader.hear(taken);
   leader.now += kElectionTimeout / 4;
   leader.tick();
@@ -130,8 +130,8 @@
 
 TEST_CASE("a new leader grants nothing before an entry of its own is agreed") {
   Voter leader;
-  Message taken = leader.answer(kAppended);
-  taken.beat = leader.lead().back().beat;
+  Message taken = leader.answer(kAppendReply);
+  taken.heartbeat = leader.lead().back().heartbeat;
   taken.term = leader.record->term();
   leader.hear(taken);  // a majority speaks to it, and what was activated before it may stand in its log
   leader.now += kElectionTimeout / 4;
@@ -145,14 +145,14 @@
 
 TEST_CASE("an entry of an older term is agreed only with one of the leader's own") {
   Voter leader;
-  Message append = leader.answer(kAppend);
+  Message append = leader.answer(kAppendRequest);
   append.term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = entry.term = 1;
   leader.hear(append);
   leader.lead();
   REQUIRE(leader.record->term() == 2);
-  Message taken = leader.answer(kAppended);
+  Message taken = leader.answer(kAppendReply);
   taken.index = taken.index_term = 1;  // two of three have it, and yet another may replace it
   leader.hear(taken);
   CHECK(leader.record->ledger().applied == 0);
