--- a/bench/fleet_record.cpp
+++ b/bench/fleet_record.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "fleet/record/octets.h"
+#include "fleet/record/checked_flatbuffer.h"
 #include "fleet/wire/envelope.h"
 #include "nodes.h"
 #include "record_generated.h"
--- a/src/fleet/record/command.cpp
+++ b/src/fleet/record/command.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "check/check.h"
-#include "fleet/record/octets.h"
+#include "fleet/record/checked_flatbuffer.h"
 
 namespace marblehub::fleet {
 namespace {
--- a/src/fleet/record/command_octets.cpp
+++ b/src/fleet/record/command_codec.cpp
@@ -1,6 +1,6 @@
 // Commands and ledgers as octets, and back.
+#include "fleet/record/checked_flatbuffer.h"
 #include "fleet/record/command.h"
-#include "fleet/record/octets.h"
 #include "record_generated.h"
 
 namespace marblehub::fleet {
--- a/src/fleet/record/lmdb_disk.cpp
+++ b/src/fleet/record/lmdb_disk.cpp
@@ -9,7 +9,7 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "fleet/record/octets.h"
+#include "fleet/record/checked_flatbuffer.h"
 #include "fleet/storage_error.h"
 
 namespace marblehub::fleet {
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -4,8 +4,8 @@
 #include <random>
 #include <tuple>
 
+#include "fleet/record/checked_flatbuffer.h"
 #include "fleet/record/log.h"
-#include "fleet/record/octets.h"
 #include "record_generated.h"
 
 namespace marblehub::fleet {
@@ -20,11 +20,11 @@
   kForward,          // commands on their way to the leader, at most 8 hops
   kLearnRequest,  // "give me what follows index, or is newer than term and beat": at first, where something
                   // is missing, and each 2 s of 50 ms beats; a learner not heard for 2.5 s is forgotten
-  kLearnUpdate,  // committed entries, commit, lease; pushed whenever there is news, and a grant each 5 beats
+  kLearnUpdate,   // committed entries, commit, lease; pushed whenever there is news, and a grant each 5 beats
   kLearnRedirect,  // full, or nothing new here: names of those to try
   kRejoinRequest,  // a voter after its start, or outside: index and index_term it has, flag: outside
   kRejoinReply,    // what its asker is known to have had: term, index, index_term; flag: ask the leader, not
-                 // me; total: from the leader, what it has applied
+                   // me; total: from the leader, what it has applied
 };
 
 using Message = fb::MessageT;
--- a/src/fleet/routes/driver.cpp
+++ b/src/fleet/routes/driver.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "fleet/record/octets.h"
+#include "fleet/record/checked_flatbuffer.h"
 #include "fleet/routes/table.h"
 
 namespace marblehub::fleet {
