--- a/bench/fleet_routes.cpp
+++ b/bench/fleet_routes.cpp
@@ -92,11 +92,11 @@
   for (int i = 0; i < 4096; ++i)
     text += (i ? "," : "") + std::string(R"({"class": "c)") + std::to_string(i % 8) + R"(", "area": ")" +
             std::to_string(i / 8) + R"(", "pool": "north"})";
-  const Matcher matcher(table_of(text + "]}", "bench"));
+  const Matcher matcher(parse_table(text + "]}", "bench"));
   std::vector<std::string> areas;
   areas.reserve(1024);
   for (int i = 0; i < 1024; ++i) areas.push_back(std::to_string(i * 7 % 600));
-  Pools sum = 0;
+  PoolMask sum = 0;
   constexpr int calls = 4'000'000;
   const auto began = std::chrono::steady_clock::now();
   for (int i = 0; i < calls; ++i) sum += matcher.route("c3", "acme", areas[i % 1024]).pool & 3;
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-Driver::Driver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& m)
+NodeDriver::NodeDriver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& m)
     : loop_(loop),
       settings_(parts.settings),
       incarnation_(parts.incarnation),
@@ -105,22 +105,22 @@
   due_.start(0);
 }
 
-Driver::~Driver() = default;
+NodeDriver::~NodeDriver() = default;
 
-void Driver::with(const std::function<void(Node&, Time now, Outbox&)>& act) {
+void NodeDriver::with(const std::function<void(Node&, Time now, Outbox&)>& act) {
   Outbox out;
   act(*node_, now(), out);
   send(out);
   after();
 }
 
-void Driver::leave() {
+void NodeDriver::leave() {
   if (leaving_) return;
   leaving_ = true;
   with([](Node& node, Time now, Outbox& out) { node.leave(now, out); });
 }
 
-void Driver::datagrams() {
+void NodeDriver::datagrams() {
   char buffer[kMaxDatagramBytes + 1];
   for (int i = 0; i < kDatagramsAtOnce; ++i) {
     sockaddr_in from{};
@@ -136,7 +136,7 @@
   }
 }
 
-bool Driver::arrived(std::string_view octets, Transport transport, const sockaddr_in* from) {
+bool NodeDriver::arrived(std::string_view octets, Transport transport, const sockaddr_in* from) {
   DropReason why = DropReason::malformed;
   auto envelope = sealer_.open(octets, why, transport);
   if (!envelope) {
@@ -154,13 +154,13 @@
   if (from && heard_from_.size() < kHeardFromMost && !node_->view().members().count(envelope->sender))
     heard_from_[envelope->sender] = *from;
   with([&](Node& node, Time at, Outbox& out) {
-    node.heard(at, envelope->sender, envelope->sent_at);
+    node.observe_clock(at, envelope->sender, envelope->sent_at);
     node.received(at, envelope->sender, envelope->component, envelope->body, transport, out);
   });
   return true;
 }
 
-std::optional<sockaddr_in> Driver::address_of(const std::string& name) const {
+std::optional<sockaddr_in> NodeDriver::address_of(const std::string& name) const {
   if (name.starts_with("@")) return config::parse_address(std::string_view(name).substr(1));
   if (auto it = settings_.via.find(name); it != settings_.via.end()) return config::parse_address(it->second);
   const auto& members = node_->view().members();
@@ -170,7 +170,7 @@
   return it == heard_from_.end() ? std::nullopt : std::optional(it->second);
 }
 
-void Driver::send(Outbox& out) {
+void NodeDriver::send(Outbox& out) {
   const auto& members = node_->view().members();
   for (Outgoing& message : out) {
     auto to = address_of(message.to);
@@ -203,7 +203,7 @@
   }
 }
 
-void Driver::after() {
+void NodeDriver::after() {
   if (node_->view().generation() != generation_) follow_view();
   settled_.set(node_->view().converged(now()));
   health_.set(node_->view().local_health());
@@ -232,7 +232,7 @@
   due_.start(std::clamp<Time>(due - now(), 0, kSecond));  // at most a second, whatever the clock does
 }
 
-void Driver::follow_view() {
+void NodeDriver::follow_view() {
   View& view = node_->view();
   generation_ = view.generation();
   generations_.set(static_cast<double>(generation_));
--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -18,12 +18,12 @@
 
 namespace marblehub::fleet {
 
-class Driver {
+class NodeDriver {
  public:
   // Throws std::runtime_error with the address where it cannot be bound. parts.settings must be enabled.
-  Driver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& metrics);
-  ~Driver();
-  Driver(const Driver&) = delete;
+  NodeDriver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& metrics);
+  ~NodeDriver();
+  NodeDriver(const NodeDriver&) = delete;
 
   Node& node() { return *node_; }
   Time now() const { return fleet_clock(loop_); }
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -17,8 +17,8 @@
                                          parts.incarnation, parts.seed ^ 0xd1b54a32d192ed03, now);
 }
 
-void Node::heard(Time now, const std::string& from, Time sent_at) {
-  if (routes_) routes_->heard(now, from, sent_at);
+void Node::observe_clock(Time now, const std::string& from, Time sent_at) {
+  if (routes_) routes_->observe_clock(now, from, sent_at);
 }
 
 void Node::received(Time now, const std::string& from, Component component, std::string_view body,
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -25,7 +25,7 @@
  public:
   Node(NodeOptions parts, Time now);
   // Envelope::sent_at of a message that verified, before it is handed to `received`.
-  void heard(Time now, const std::string& from, Time sent_at);
+  void observe_clock(Time now, const std::string& from, Time sent_at);
   void received(Time now, const std::string& from, Component component, std::string_view body,
                 Transport transport, Outbox& out);
   void tick(Time now, Outbox& out);
--- a/src/fleet/routes/driver.cpp
+++ b/src/fleet/routes/driver.cpp
@@ -49,10 +49,11 @@
 
 }  // namespace
 
-std::uint64_t Driver::newer(const std::string& text, const RouteState& routes) const {
+std::uint64_t ActivationDriver::newer(const std::string& text, const RouteState& routes) const {
   const std::string& file = settings_.routes_file;
   // Checked against the list only where one is known: at start it comes later, and staging checks again.
-  Table table = listed_known_ ? table_in(text, file, 0, calls_, listed_) : table_of(text, file);
+  Table table =
+      listed_known_ ? parse_and_check_table(text, file, 0, calls_, listed_) : parse_table(text, file);
   if (table.version == 0) return 0;
   const std::string why = stands_against(routes, table.version, text);
   // Words taken before are no news, however old they are by now: a reload for another file's sake reads them.
@@ -61,7 +62,7 @@
   return text_of(routes, table.version) ? 0 : table.version;
 }
 
-void Driver::offer(Time, const std::string& text, const RouteState& routes) {
+void ActivationDriver::offer(Time, const std::string& text, const RouteState& routes) {
   const std::uint64_t version = newer(text, routes);
   taken_ = fnv1a_hash(text);
   if (version == 0) return;
@@ -70,7 +71,7 @@
   due_ = 0;
 }
 
-void Driver::step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
+void ActivationDriver::step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
   due_ = std::numeric_limits<Time>::max();
   note_refusal(record.ledger().routes);
   answer(now, record, out);
@@ -79,13 +80,13 @@
   give_up(now, record, out);
 }
 
-void Driver::note_refusal(const RouteState& routes) {
+void ActivationDriver::note_refusal(const RouteState& routes) {
   if (routes.last_refusal == recorded_refusal_) return;
   recorded_refusal_ = last_refusal_ = routes.last_refusal;
 }
 
 // Phase one at every member that is waited for. A yes that was lost is said again.
-void Driver::answer(Time now, Record& record, Outbox& out) {
+void ActivationDriver::answer(Time now, Record& record, Outbox& out) {
   const RouteState& routes = record.ledger().routes;
   if (routes.staged != answered_) answered_ = 0;
   if (routes.staged == 0 || !routes.waited_for.count(settings_.name) || !listed_known_) return;
@@ -95,8 +96,8 @@
   answered_at_ = now;
   std::string refusal;
   try {
-    Table table = table_in(routes.staged_text, "routes " + std::to_string(routes.staged),
-                           std::max(routes.in_force, routes.next), calls_, listed_);
+    Table table = parse_and_check_table(routes.staged_text, "routes " + std::to_string(routes.staged),
+                                        std::max(routes.in_force, routes.next), calls_, listed_);
     if (table.version != routes.staged) refusal = "routes: setting version: differs from the proposed one";
   } catch (const config::DecodeError& error) {
     refusal = error.what();
@@ -105,7 +106,7 @@
   record.propose(now, AnswerRoutes{answered_, settings_.name, bounded(std::move(refusal))}, out);
 }
 
-void Driver::propose(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
+void ActivationDriver::propose(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
   if (offered_version_ == 0) return;
   const RouteState& routes = record.ledger().routes;
   // Without a grant and a leader this balancer's record may be old: what is newer cannot be told yet.
@@ -131,7 +132,7 @@
 }
 
 // The proposer drives its activation; where it dies before the moment is recorded the leader gives it up.
-void Driver::drive(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
+void ActivationDriver::drive(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out) {
   if (driven_ == 0) return;
   const RouteState& routes = record.ledger().routes;
   const Time over = proposed_at_ + settings_.stage;
@@ -170,7 +171,7 @@
                  out);
 }
 
-void Driver::give_up(Time now, Record& record, Outbox& out) {
+void ActivationDriver::give_up(Time now, Record& record, Outbox& out) {
   const RouteState& routes = record.ledger().routes;
   if (record.role() != Role::leader || routes.staged == 0) {
     watched_ = 0;
--- a/src/fleet/routes/driver.h
+++ b/src/fleet/routes/driver.h
@@ -5,14 +5,15 @@
 
 namespace marblehub::fleet {
 
-class Driver {
+class ActivationDriver {
  public:
-  Driver(const Settings& settings, KnownCalls calls) : settings_(settings), calls_(std::move(calls)) {}
+  ActivationDriver(const Settings& settings, KnownCalls calls)
+      : settings_(settings), calls_(std::move(calls)) {}
 
   void offer(Time now, const std::string& text, const RouteState& routes);
   // The version of the words where they are news, else 0; throws where they are refused.
   std::uint64_t newer(const std::string& text, const RouteState& routes) const;
-  void workers(const std::vector<ListedWorker>& listed) { listed_ = listed, listed_known_ = true; }
+  void update_workers(const std::vector<ListedWorker>& listed) { listed_ = listed, listed_known_ = true; }
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
   Time next_due() const { return due_; }
 
--- a/src/fleet/routes/lease.cpp
+++ b/src/fleet/routes/lease.cpp
@@ -7,76 +7,77 @@
 
 namespace marblehub::fleet {
 
-void ClockWatch::heard(Time now, const std::string& from, Time sent_at) {
-  unheard_ = false;
+void ClockMonitor::observe_clock(Time now, const std::string& from, Time sent_at) {
+  peers_missing_ = false;
   constexpr Time never = std::numeric_limits<Time>::max();
-  if (now - span_from_ >= kSpan || now < span_from_) {
-    bool next = now >= span_from_ && now - span_from_ < 2 * kSpan;
+  if (now - window_start_ >= kWindow || now < window_start_) {
+    bool next = now >= window_start_ && now - window_start_ < 2 * kWindow;
     for (auto it = peers_.begin(); it != peers_.end();) {
-      it->second = {never, next ? it->second.here : never};
-      it = it->second.before == never ? peers_.erase(it) : std::next(it);
+      it->second = {never, next ? it->second.current : never};
+      it = it->second.previous == never ? peers_.erase(it) : std::next(it);
     }
-    span_from_ = now;
+    window_start_ = now;
   }
-  Least& least = peers_.try_emplace(from, Least{never, never}).first->second;
-  least.here = std::min(least.here, now - sent_at);
-  judge();
+  MinOffsets& offsets = peers_.try_emplace(from, MinOffsets{never, never}).first->second;
+  offsets.current = std::min(offsets.current, now - sent_at);
+  count_peers_off();
 }
 
-void ClockWatch::stepped() {
-  unheard_ = unheard_ || !peers_.empty();
+void ClockMonitor::reset() {
+  peers_missing_ = peers_missing_ || !peers_.empty();
   peers_.clear();
-  judge();
+  count_peers_off();
 }
 
-void ClockWatch::judge() {
-  off_ = 0;
-  known_ = peers_.size();
-  for (const auto& [name, least] : peers_) {
-    Time offset = std::min(least.here, least.before);
-    if (offset > bound_ || offset < -bound_) ++off_;
+void ClockMonitor::count_peers_off() {
+  peers_off_ = 0;
+  peers_known_ = peers_.size();
+  for (const auto& [name, offsets] : peers_) {
+    Time offset = std::min(offsets.current, offsets.previous);
+    if (offset > bound_ || offset < -bound_) ++peers_off_;
   }
 }
 
-void Lease::granted(Time now, const Grant& grant) {
-  if (grant_ && grant.until == heard_until_ && grant.version == grant_->version && grant.next == grant_->next)
+void Lease::update_grant(Time now, const Grant& grant) {
+  if (grant_ && grant.until == latest_until_ && grant.version == grant_->version &&
+      grant.next == grant_->next)
     return;
   if (grant_ && std::max(grant.version, grant.next) < std::max(grant_->version, grant_->next)) return;  // old
-  bool newer = grant.until > heard_until_ || stepped_;
-  heard_until_ = grant.until;
+  bool newer = grant.until > latest_until_ || stepped_back_;
+  latest_until_ = grant.until;
   // Granted for `lease` at most by a clock at most `bound` ahead of this one, and some time ago.
   behind_ = grant.until - lease_ > now + bound_;
   if (behind_) return;
-  if (stepped_ && newer) {
-    stepped_ = false;
-    seen_ = now;
+  if (stepped_back_ && newer) {
+    stepped_back_ = false;
+    latest_time_ = now;
   }
   grant_ = grant;
 }
 
-Lease::Judged Lease::judge(Time now) {
-  if (now < seen_ - bound_ && !stepped_) {
-    stepped_ = true;
-    watch_.stepped();
+Lease::Decision Lease::evaluate(Time now) {
+  if (now < latest_time_ - bound_ && !stepped_back_) {
+    stepped_back_ = true;
+    clock_monitor_.reset();
   }
   if (!grant_) return {false, 0, "has not heard which version is in force"};
   // A step back within the bound: the later of the two moments, at which less is allowed.
-  const Time at = stepped_ ? now : seen_ = std::max(seen_, now);
+  const Time at = stepped_back_ ? now : latest_time_ = std::max(latest_time_, now);
   const Grant& g = *grant_;
   const std::uint64_t version = g.next != 0 && at >= g.activation_time ? g.next : g.version;
-  Judged judged{false, std::max(version, newest_), ""};
+  Decision decision{false, std::max(version, newest_version_), ""};
   // A leader grants to itself: after a step that says nothing until another's clock is heard.
-  if (stepped_ || watch_.unheard())
-    judged.why = "the clock went back";
-  else if (version < newest_)
-    judged.why = "the clock is before the moment of a version that it held";
+  if (stepped_back_ || clock_monitor_.peers_missing())
+    decision.why = "the clock went back";
+  else if (version < newest_version_)
+    decision.why = "the clock is before the moment of a version that it held";
   else if (clock_off())
-    judged.why = "the clock is off by more than the bound";
+    decision.why = "the clock is off by more than the bound";
   else if (at >= g.until - bound_)
-    judged.why = "the lease is over";
+    decision.why = "the lease is over";
   else
-    judged.held = true, newest_ = version;
-  return judged;
+    decision.held = true, newest_version_ = version;
+  return decision;
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/routes/matcher.cpp
+++ b/src/fleet/routes/matcher.cpp
@@ -5,9 +5,9 @@
 namespace marblehub::fleet {
 
 Matcher::Matcher(const Table& table) {
-  auto bits = [&](const std::string& name, Pools absent) {
+  auto bits = [&](const std::string& name, PoolMask absent) {
     for (std::size_t i = 0; i < table.pools.size(); ++i)
-      if (table.pools[i].name == name) return Pools{1} << i;
+      if (table.pools[i].name == name) return PoolMask{1} << i;
     return absent;
   };
   for (std::size_t i = 0; i < table.rules.size(); ++i) {
@@ -15,7 +15,8 @@
     add(rule, i);
     routes_.push_back({table.version, bits(rule.pool, 0), bits(rule.fallback, 0)});
   }
-  routes_.push_back({table.version, bits(table.otherwise, ~Pools{0}), bits(table.otherwise, ~Pools{0})});
+  routes_.push_back(
+      {table.version, bits(table.otherwise, ~PoolMask{0}), bits(table.otherwise, ~PoolMask{0})});
 }
 
 std::uint64_t Matcher::key(const Ids& ids, unsigned named) {
@@ -58,7 +59,7 @@
 }
 
 // A rule that an earlier one covers would never be met: the same area twice, or one after a rule for all.
-void refuse_covered(const Table& table, const config::Options& place) {
+void reject_shadowed_rules(const Table& table, const config::Options& place) {
   Matcher seen{Table{}};
   for (std::size_t i = 0; i < table.rules.size(); ++i) {
     const Rule& rule = table.rules[i];
--- a/src/fleet/routes/routes.cpp
+++ b/src/fleet/routes/routes.cpp
@@ -15,11 +15,11 @@
   explicit Held(Table t) : table(std::move(t)), matcher(table) {}
   void count(const std::vector<ListedWorker>& listed) {
     pools.clear();
-    for (const ListedWorker& worker : listed) pools[worker.name] = pools_in(table, worker);
+    for (const ListedWorker& worker : listed) pools[worker.name] = pools_containing(table, worker);
   }
   Table table;
   Matcher matcher;
-  std::unordered_map<std::string, Pools> pools;
+  std::unordered_map<std::string, PoolMask> pools;
 };
 
 constexpr std::size_t kMostHeld = 4;  // before, in force, next, and one more for calls that began long ago
@@ -30,7 +30,7 @@
   State(const Settings& s, KnownCalls calls) : settings(s), lease(s), driver(s, std::move(calls)) {}
 
   struct Decided {
-    Placing placing;
+    PlacementMode mode;
     std::uint64_t version;
     const Held* held;  // null: no table of it
   };
@@ -44,7 +44,7 @@
 
   const Settings settings;
   Lease lease;
-  Driver driver;
+  ActivationDriver driver;
   std::map<std::uint64_t, std::unique_ptr<Held>> held;
   std::uint64_t in_force = 0, next = 0, newest_placed = 0, current = 0;
   Time activation_time = 0;  // of `next`
@@ -55,39 +55,39 @@
 };
 
 Routes::State::Decided Routes::State::decide(Time now) {
-  const Lease::Judged judged = lease.judge(now);
-  why = judged.why;
-  const Held* table = find(judged.version);
-  if (judged.held && (table || judged.version == 0)) {
-    MARBLEHUB_INVARIANT("routes", judged.version >= newest_placed,
+  const Lease::Decision decision = lease.evaluate(now);
+  why = decision.why;
+  const Held* table = find(decision.version);
+  if (decision.held && (table || decision.version == 0)) {
+    MARBLEHUB_INVARIANT("routes", decision.version >= newest_placed,
                         "placed by an older version after a newer one");
-    newest_placed = std::max(newest_placed, judged.version);
-    return {table ? Placing::by_table : Placing::plain, judged.version, table};
+    newest_placed = std::max(newest_placed, decision.version);
+    return {table ? PlacementMode::by_table : PlacementMode::no_table, decision.version, table};
   }
-  if (judged.held) why = "does not hold the version in force yet";
+  if (decision.held) why = "does not hold the version in force yet";
   if (settings.when_alone == WhenAlone::keep) {
     // The newest that it knows of, by its own clock: agreement is given up, so none is claimed.
     std::uint64_t version =
-        std::max({judged.version, in_force, next != 0 && now >= activation_time ? next : 0});
+        std::max({decision.version, in_force, next != 0 && now >= activation_time ? next : 0});
     if (!find(version)) {
       auto it = held.lower_bound(version);
       while (it != held.begin() && !std::prev(it)->second) --it;
       version = it == held.begin() ? 0 : std::prev(it)->first;
     }
-    if (version != 0 || (lease.ever_held() && judged.version == 0)) {
+    if (version != 0 || (lease.ever_held() && decision.version == 0)) {
       ++counts.alone;
-      return {Placing::alone, version, find(version)};
+      return {PlacementMode::alone, version, find(version)};
     }
   }
   ++counts.fenced;
-  return {Placing::fenced, judged.version, nullptr};
+  return {PlacementMode::fenced, decision.version, nullptr};
 }
 
 void Routes::State::hold(std::uint64_t version, const std::string& text) {
   if (version == 0 || held.count(version)) return;
   std::unique_ptr<Held>& into = held[version];
   try {
-    auto table = std::make_unique<Held>(table_of(text, "routes " + std::to_string(version)));
+    auto table = std::make_unique<Held>(parse_table(text, "routes " + std::to_string(version)));
     table->count(driver.listed());
     into = std::move(table);
   } catch (const config::DecodeError&) {
@@ -113,12 +113,12 @@
   state_->driver.newer(text, record.ledger().routes);
 }
 
-void Routes::heard(Time now, const std::string& from, Time sent_at) {
-  state_->lease.heard(now, from, sent_at);
+void Routes::observe_clock(Time now, const std::string& from, Time sent_at) {
+  state_->lease.observe_clock(now, from, sent_at);
 }
 
-void Routes::workers(const std::vector<ListedWorker>& listed) {
-  state_->driver.workers(listed);
+void Routes::update_workers(const std::vector<ListedWorker>& listed) {
+  state_->driver.update_workers(listed);
   for (auto& [version, table] : state_->held)
     if (table) table->count(listed);
 }
@@ -132,10 +132,10 @@
   s.in_force = routes.in_force;
   s.next = routes.next;
   s.activation_time = routes.activation_time;
-  if (std::optional<Grant> grant = record.grant()) s.lease.granted(now, *grant);
+  if (std::optional<Grant> grant = record.grant()) s.lease.update_grant(now, *grant);
   s.driver.step(now, record, alive, out);
   s.turn = routes.next != 0 && now < routes.activation_time ? routes.activation_time : 0;
-  s.current = s.lease.judge(now).version;
+  s.current = s.lease.evaluate(now).version;
   MARBLEHUB_INVARIANT("routes", routes.next == 0 || routes.next > routes.in_force,
                       "the next version is not newer");
   MARBLEHUB_DEBUG_INVARIANT("routes", s.held.size() <= kMostHeld, "more tables held than are used");
@@ -146,25 +146,25 @@
   return state_->turn != 0 ? std::min(due, state_->turn) : due;
 }
 
-Placing Routes::placing(Time now) const { return state_->decide(now).placing; }
+PlacementMode Routes::placement_mode(Time now) const { return state_->decide(now).mode; }
 
 Route Routes::route(Time now, std::string_view service_class, std::string_view tenant,
                     std::string_view area) const {
   const State::Decided decided = state_->decide(now);
-  if (decided.placing == Placing::fenced) return {decided.version, 0, 0};
+  if (decided.mode == PlacementMode::fenced) return {decided.version, 0, 0};
   if (!decided.held) return {decided.version};
   return decided.held->matcher.route(service_class, tenant, area);
 }
 
-Pools Routes::pools_of(const std::string& worker) const { return pools_of(worker, state_->current); }
+PoolMask Routes::pool_mask(const std::string& worker) const { return pool_mask(worker, state_->current); }
 
-Pools Routes::pools_of(const std::string& worker, std::uint64_t version) const {
+PoolMask Routes::pool_mask(const std::string& worker, std::uint64_t version) const {
   const Held* table = state_->find(version);
   auto it = table ? table->pools.find(worker) : decltype(table->pools.end()){};
-  return table && it != table->pools.end() ? it->second : kEveryWorker;
+  return table && it != table->pools.end() ? it->second : kAnyWorkerBit;
 }
 
-Time Routes::try_again(Time now) const {
+Time Routes::retry_after(Time now) const {
   // Spread by a mixer over name, time and count (Steele, Lea, Flood 2014), so that those refused at one
   // moment do not come back at one.
   std::uint64_t z = std::hash<std::string>{}(state_->settings.name) + static_cast<std::uint64_t>(now) +
--- a/src/fleet/routes/routes.h
+++ b/src/fleet/routes/routes.h
@@ -29,11 +29,11 @@
 
 // Where a call is sent: the bits of the pool, and of its fallback where none of the pool is usable (0: none).
 // A worker may be chosen where its bits and the route's meet; every worker has kEveryWorker.
-using Pools = std::uint64_t;
-constexpr Pools kEveryWorker = Pools{1} << 63;
+using PoolMask = std::uint64_t;
+constexpr PoolMask kAnyWorkerBit = PoolMask{1} << 63;
 struct Route {
   std::uint64_t version = 0;
-  Pools pool = ~Pools{0}, fallback = ~Pools{0};
+  PoolMask pool = ~PoolMask{0}, fallback = ~PoolMask{0};
 };
 
 struct ListedWorker {
@@ -46,12 +46,12 @@
 // Throws config::DecodeError with file and key: an unknown key, pool, class or tenant (where `calls` names
 // any), a rule that an earlier one covers (an area twice), a version not above `newest`, over a bound, a pool
 // that none of the listed workers is in.
-Table table_in(std::string_view text, const std::string& file, std::uint64_t newest, const KnownCalls& calls,
-               const std::vector<ListedWorker>& listed);
+Table parse_and_check_table(std::string_view text, const std::string& file, std::uint64_t newest,
+                            const KnownCalls& calls, const std::vector<ListedWorker>& listed);
 
 // May this balancer place, and by which version? `fenced`: it cannot know, so it places nothing new.
-enum class Placing {
-  plain,
+enum class PlacementMode {
+  no_table,
   by_table,
   fenced,
   alone
@@ -66,8 +66,8 @@
   void offer(Time now, const std::string& text, Record& record, Outbox& out);
   void check(const std::string& text, const Record& record) const;  // throws what `offer` would
   // Envelope::sent_at of each message, before it is received: shows a clock that is off.
-  void heard(Time now, const std::string& from, Time sent_at);
-  void workers(const std::vector<ListedWorker>& listed);  // the list as it stands
+  void observe_clock(Time now, const std::string& from, Time sent_at);
+  void update_workers(const std::vector<ListedWorker>& listed);  // the list as it stands
   // After anything that may have changed the record, and at next_due: stages, says yes or why not, drives an
   // activation it proposed, aborts one whose time is over.
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
@@ -75,14 +75,14 @@
 
   // O(1); `now` decides which side of a moment it is, and whether a lease still holds: no timer is trusted,
   // so a process that slept is fenced at its first call.
-  Placing placing(Time now) const;
+  PlacementMode placement_mode(Time now) const;
   // O(log rules), without allocation. Pool and fallback are 0 while fenced. A call keeps what it got.
   Route route(Time now, std::string_view service_class, std::string_view tenant, std::string_view area) const;
-  Pools pools_of(const std::string& worker) const;  // of the table in force at the last step
+  PoolMask pool_mask(const std::string& worker) const;  // of the table in force at the last step
   // Of one table: bits mean pools of their version alone. The table before the one in force is kept, for
   // retries of calls that began by it.
-  Pools pools_of(const std::string& worker, std::uint64_t version) const;
-  Time try_again(Time now) const;           // pause for an overload reply while fenced: one to two leases
+  PoolMask pool_mask(const std::string& worker, std::uint64_t version) const;
+  Time retry_after(Time now) const;         // pause for an overload reply while fenced: one to two leases
   const std::string& last_refusal() const;  // of the last activation aborted, with its reason
 
   struct Counts {
--- a/src/fleet/routes/table.cpp
+++ b/src/fleet/routes/table.cpp
@@ -38,7 +38,8 @@
   const std::string* text = options.find(key);
   if (needed && (!text || text->empty())) options.refuse(key, "a name");
   if (!text) return {};
-  if (text->size() > kLongestName) options.refuse(key, "at most " + std::to_string(kLongestName) + " octets");
+  if (text->size() > kMaxNameBytes)
+    options.refuse(key, "at most " + std::to_string(kMaxNameBytes) + " octets");
   return *text;
 }
 
@@ -50,7 +51,7 @@
   for (std::size_t begin = 0; begin <= text->size();) {
     std::size_t end = std::min(text->find(',', begin), text->size());
     std::string_view name = std::string_view(*text).substr(begin, end - begin);
-    if (name.empty() || name.size() > kLongestName) options.refuse(key, "names");
+    if (name.empty() || name.size() > kMaxNameBytes) options.refuse(key, "names");
     if (!seen.insert(name).second)
       options.refuse(key, "each name once, not \"" + std::string(name) + "\" twice");
     names.emplace_back(name);
@@ -78,7 +79,7 @@
 
 }  // namespace
 
-Table table_of(std::string_view text, const std::string& file) {
+Table parse_table(std::string_view text, const std::string& file) {
   std::string place = file + ": ";
   if (text.size() > kMaxRouteTableBytes)
     throw config::DecodeError(place + "expected at most " + std::to_string(kMaxRouteTableBytes) + " octets");
@@ -87,7 +88,7 @@
   Table table;
   table.version = options.number<std::uint64_t>("version", 0);
   if (table.version >= std::uint64_t{1} << 53) options.refuse("version", "less than 2^53");
-  std::size_t pools = count_of(options, "pools", kMostPools), rules = count_of(options, "rules", kMostRules);
+  std::size_t pools = count_of(options, "pools", kMaxPools), rules = count_of(options, "rules", kMaxRules);
   for (std::size_t i = 0; i < pools; ++i) {
     Pool pool{name_or(options, at("pools", i, "name"), true), names_or(options, at("pools", i, "zones")),
               names_or(options, at("pools", i, "types")), names_or(options, at("pools", i, "groups")),
@@ -110,13 +111,13 @@
   table.otherwise = pool_at("otherwise", false);
   std::vector<std::string> unread = options.unread();
   if (!unread.empty()) options.refuse(unread.front(), "no such key");
-  refuse_covered(table, options);
+  reject_shadowed_rules(table, options);
   return table;
 }
 
-Table table_in(std::string_view text, const std::string& file, std::uint64_t newest, const KnownCalls& calls,
-               const std::vector<ListedWorker>& listed) {
-  Table table = table_of(text, file);
+Table parse_and_check_table(std::string_view text, const std::string& file, std::uint64_t newest,
+                            const KnownCalls& calls, const std::vector<ListedWorker>& listed) {
+  Table table = parse_table(text, file);
   const Options place({}, file + ": ");
   if (table.version != 0 && table.version <= newest)
     place.refuse("version", "above " + std::to_string(newest) + ", which is in force or recorded");
@@ -129,14 +130,15 @@
   }
   for (std::size_t i = 0; i < table.pools.size(); ++i) {
     const Pool& pool = table.pools[i];
-    if (std::none_of(listed.begin(), listed.end(), [&](const ListedWorker& w) { return in_pool(pool, w); }))
+    if (std::none_of(listed.begin(), listed.end(),
+                     [&](const ListedWorker& w) { return is_in_pool(pool, w); }))
       place.refuse("pools." + std::to_string(i),
                    "a listed worker in \"" + pool.name + "\", of " + std::to_string(listed.size()));
   }
   return table;
 }
 
-bool in_pool(const Pool& pool, const ListedWorker& worker) {
+bool is_in_pool(const Pool& pool, const ListedWorker& worker) {
   auto fits = [](const std::vector<std::string>& names, const std::string& name) {
     return names.empty() || among(names, name);
   };
@@ -144,10 +146,10 @@
          fits(pool.workers, worker.name);
 }
 
-Pools pools_in(const Table& table, const ListedWorker& worker) {
-  Pools bits = kEveryWorker;
+PoolMask pools_containing(const Table& table, const ListedWorker& worker) {
+  PoolMask bits = kAnyWorkerBit;
   for (std::size_t i = 0; i < table.pools.size(); ++i)
-    if (in_pool(table.pools[i], worker)) bits |= Pools{1} << i;
+    if (is_in_pool(table.pools[i], worker)) bits |= PoolMask{1} << i;
   return bits;
 }
 
--- a/src/fleet/routes/table.h
+++ b/src/fleet/routes/table.h
@@ -9,11 +9,11 @@
 
 namespace marblehub::fleet {
 
-constexpr std::size_t kMostPools = 63, kMostRules = 4096, kLongestName = 128;
+constexpr std::size_t kMaxPools = 63, kMaxRules = 4096, kMaxNameBytes = 128;
 
 // Shape and bounds alone. What is in force is held by this: that a pool lost its last worker since must not
 // keep a balancer from the table that all others place by.
-Table table_of(std::string_view text, const std::string& file);
+Table parse_table(std::string_view text, const std::string& file);
 
 // The rules by what they name: at most eight looks decide which is the first that fits.
 class Matcher {
@@ -22,7 +22,7 @@
   Route route(std::string_view service_class, std::string_view tenant, std::string_view area) const;
 
  private:
-  friend void refuse_covered(const Table& table, const config::Options& place);
+  friend void reject_shadowed_rules(const Table& table, const config::Options& place);
   using Ids = std::array<std::uint32_t, 3>;  // of class, tenant and area; 0: any
   static std::uint64_t key(const Ids& ids, unsigned named);
   std::size_t first(const Ids& ids) const;  // of the rules that fit; their number: none
@@ -34,9 +34,9 @@
   std::vector<Route> routes_;  // of each rule, and last of what none fits
 };
 
-void refuse_covered(const Table& table, const config::Options& place);  // throws config::DecodeError
+void reject_shadowed_rules(const Table& table, const config::Options& place);  // throws config::DecodeError
 
-bool in_pool(const Pool& pool, const ListedWorker& worker);
-Pools pools_in(const Table& table, const ListedWorker& worker);
+bool is_in_pool(const Pool& pool, const ListedWorker& worker);
+PoolMask pools_containing(const Table& table, const ListedWorker& worker);
 
 }  // namespace marblehub::fleet
--- a/src/fleet/service/files.cpp
+++ b/src/fleet/service/files.cpp
@@ -12,9 +12,9 @@
   PooledWorkers workers;
   workers.learn(startup.known);
   if (std::vector<ListedWorker> listed = workers.listed(); !listed.empty())
-    table_in(files.routes, files.settings.routes_file, 0, {class_names(startup), {}}, listed);
+    parse_and_check_table(files.routes, files.settings.routes_file, 0, {class_names(startup), {}}, listed);
   else
-    table_of(files.routes, files.settings.routes_file);
+    parse_table(files.routes, files.settings.routes_file);
 }
 
 }  // namespace
--- a/src/fleet/service/pools.cpp
+++ b/src/fleet/service/pools.cpp
@@ -56,12 +56,12 @@
   return pool.names->empty() || some_up(*fallback.names) ? fallback.names : pool.names;
 }
 
-PooledWorkers::Pool& PooledWorkers::of(Pools pools, std::uint64_t version, const Routes& routes) {
+PooledWorkers::Pool& PooledWorkers::of(PoolMask pools, std::uint64_t version, const Routes& routes) {
   Pool& made = pools_[{version, pools}];
   if (made.names) return made;
   auto names = std::make_shared<std::set<std::string>>();
   for (const auto& [name, worker] : ready_)
-    if ((pools & kEveryWorker) != 0 || (routes.pools_of(name, version) & pools) != 0) names->insert(name);
+    if ((pools & kAnyWorkerBit) != 0 || (routes.pool_mask(name, version) & pools) != 0) names->insert(name);
   made.left = made.left || (!names->empty() && !some_up(*names));
   made.names = std::move(names);
   return made;
--- a/src/fleet/service/pools.h
+++ b/src/fleet/service/pools.h
@@ -41,11 +41,11 @@
     bool left = false;  // all of it were down, and none has been up for long
     Time up_since = -1;
   };
-  Pool& of(Pools pools, std::uint64_t version, const Routes& routes);
+  Pool& of(PoolMask pools, std::uint64_t version, const Routes& routes);
 
   std::map<std::string, ListedWorker> ready_;
   std::set<std::string> down_;
-  std::map<std::pair<std::uint64_t, Pools>, Pool> pools_;  // by version and bits
+  std::map<std::pair<std::uint64_t, PoolMask>, Pool> pools_;  // by version and bits
   std::uint64_t changes_ = 1;
 };
 
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -139,12 +139,12 @@
   Time now = driver_.now();
   Node& node = driver_.node();
   Routes* routes = checked("routes") ? node.routes() : nullptr;
-  Placing placing = routes ? routes->placing(now) : Placing::plain;
-  if (placing == Placing::fenced) {
+  PlacementMode mode = routes ? routes->placement_mode(now) : PlacementMode::no_table;
+  if (mode == PlacementMode::fenced) {
     refused_fenced_.add();
-    return {true, routes->try_again(now), nullptr};
+    return {true, routes->retry_after(now), nullptr};
   }
-  if (placing != Placing::plain)
+  if (mode != PlacementMode::no_table)
     decision.allowed_workers = workers_.usable(route_of(*routes, now, call), *routes);
   Wallets* wallets = checked("wallet") ? node.wallets() : nullptr;
   Reservation reservation;
@@ -175,7 +175,7 @@
 void Service::worker_list_updated(const config::WorkerList& list) {
   workers_.learn(list);
   driver_.with([this](Node& node, Time, Outbox&) {
-    if (node.routes()) node.routes()->workers(workers_.listed());
+    if (node.routes()) node.routes()->update_workers(workers_.listed());
   });
 }
 
@@ -187,7 +187,7 @@
 bool Service::placement_allowed(const core::Call& call, const std::string& worker) {
   Time now = driver_.now();
   Routes* routes = checked("routes") ? driver_.node().routes() : nullptr;
-  if (!routes || routes->placing(now) != Placing::by_table) return true;
+  if (!routes || routes->placement_mode(now) != PlacementMode::by_table) return true;
   PooledWorkers::Set usable = workers_.usable(route_of(*routes, now, call), *routes);
   return usable->count(worker) || !workers_.some_up(*usable);
 }
@@ -219,8 +219,8 @@
       workers_.forget();
       log::info("fleet: route version {} is in force", in_force_);
     }
-    Placing placing = routes->placing(now);
-    if (std::exchange(placing_, placing) != placing && placing == Placing::fenced)
+    PlacementMode mode = routes->placement_mode(now);
+    if (std::exchange(logged_mode_, mode) != mode && mode == PlacementMode::fenced)
       log::warning("fleet: fenced, nothing new is placed: {}", routes->why_fenced());
     if (const std::string& why = routes->last_refusal(); why != refusal_said_) {
       refusal_said_ = why;
@@ -230,8 +230,8 @@
       }
     }
     version_.set(static_cast<double>(in_force_));
-    fenced_.set(placing == Placing::fenced ? 1 : 0);
-    alone_.set(placing == Placing::alone ? 1 : 0);
+    fenced_.set(mode == PlacementMode::fenced ? 1 : 0);
+    alone_.set(mode == PlacementMode::alone ? 1 : 0);
   }
   if (Wallets* wallets = node.wallets()) tell_wallets(ledger, *wallets);
 }
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -62,7 +62,7 @@
   std::vector<std::string> classes_;
   std::unique_ptr<LmdbDisk> disk_;        // of a voter
   std::unique_ptr<FileJournal> journal_;  // where there is a wallet and a folder
-  Driver driver_;
+  NodeDriver driver_;
   const Time began_;
   PooledWorkers workers_;
   std::unordered_map<std::uint64_t, Reservation> reserved_;  // by call; one that stands has none any more
@@ -70,7 +70,7 @@
   std::set<std::string> paused_tenants_;
   std::map<std::string, std::int64_t> paid_;  // by tenant, as it was told in the log
   std::uint64_t in_force_ = 0;
-  Placing placing_ = Placing::plain;
+  PlacementMode logged_mode_ = PlacementMode::no_table;
   std::set<std::string> broken_;
   metrics::Metric &version_, &fenced_, &alone_, &paused_, &refused_fenced_, &refused_paused_, &majority_,
       &leads_, &no_vote_, &held_back_, &broken_parts_, &shared_by_;
--- a/tests/fleet/processes/node_main.cpp
+++ b/tests/fleet/processes/node_main.cpp
@@ -21,7 +21,7 @@
   parts.seed = parts.incarnation;
   fleet::EnvelopeSealer sealer(parts.settings.fleet, fleet::read_key_file(parts.settings.key_file));
   bool refused = false;
-  fleet::Driver driver(loop, std::move(parts), std::move(sealer), metrics);
+  fleet::NodeDriver driver(loop, std::move(parts), std::move(sealer), metrics);
   driver.on_refused([&](const std::string&) {
     refused = true;
     loop.stop();
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -28,7 +28,7 @@
     s.name = "alva";
     s.listen = s.advertise = "127.0.0.1:" + std::to_string(port);
     s.members = {"alva", "boris", "celia"};
-    driver = std::make_unique<Driver>(loop, std::move(parts), EnvelopeSealer("tartu", {kKey}), metrics);
+    driver = std::make_unique<NodeDriver>(loop, std::move(parts), EnvelopeSealer("tartu", {kKey}), metrics);
   }
   std::map<std::string, int> dropped() const {
     std::map<std::string, int> all;
@@ -55,7 +55,7 @@
   net::Loop loop;
   metrics::Registry metrics;
   std::uint16_t port;
-  std::unique_ptr<Driver> driver;
+  std::unique_ptr<NodeDriver> driver;
 };
 
 }  // namespace
--- a/tests/fleet/random/world.h
+++ b/tests/fleet/random/world.h
@@ -104,7 +104,7 @@
     parts.incarnation = ++one.incarnation;
     parts.seed = chance();
     one.node = std::make_unique<Node>(std::move(parts), clock(one));
-    one.node->routes()->workers({{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}});
+    one.node->routes()->update_workers({{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}});
     one.due = one.asleep_until = 0;
     one.applied = 0;
   }
@@ -159,15 +159,15 @@
       return mail.push(later);
     }
     Outbox out;
-    one.node->heard(clock(one), m.from, m.sent_at);
+    one.node->observe_clock(clock(one), m.from, m.sent_at);
     one.node->received(clock(one), m.from, m.what.component, m.what.body, m.what.transport, out);
     one.due = std::min(one.due, one.node->next_due());
     post(one, out);
     look(one);
   }
   void call(One& one) {
-    const Placing placing = one.node->routes()->placing(clock(one));
-    if (placing == Placing::fenced || placing == Placing::alone) return;
+    const PlacementMode mode = one.node->routes()->placement_mode(clock(one));
+    if (mode == PlacementMode::fenced || mode == PlacementMode::alone) return;
     const std::uint64_t by = one.node->routes()->route(clock(one), "ride", "", "7").version;
     if (!one.off_beyond) {
       ++placed;
@@ -265,8 +265,8 @@
     for (auto& [name, one] : members) {
       views.insert(one.node->view().digest());
       applied.insert(one.node->record().ledger().applied);
-      const Placing placing = one.node->routes()->placing(clock(one));
-      versions.insert(placing == Placing::fenced
+      const PlacementMode mode = one.node->routes()->placement_mode(clock(one));
+      versions.insert(mode == PlacementMode::fenced
                           ? ~std::uint64_t{0}
                           : one.node->routes()->route(clock(one), "ride", "", "7").version);
       text += "\n" + name + ": alive " + std::to_string(one.node->view().live_count()) + ", applied " +
--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -93,7 +93,7 @@
   auto& slept = w.members.at("m7");
   const std::uint64_t placed = slept.placed;
   slept.asleep_until = 0;
-  CHECK(slept.routes->placing(w.clock(slept)) == Placing::fenced);
+  CHECK(slept.routes->placement_mode(w.clock(slept)) == PlacementMode::fenced);
   CHECK(std::string(slept.routes->why_fenced()) == "the lease is over");
   w.run(500 * kMillisecond);
   CHECK(slept.placed > placed);
@@ -160,7 +160,7 @@
 
 TEST_CASE("a refusal at one member ends the activation, with member, place and key") {
   Begun w;
-  w.members.at("m7").routes->workers({{"w-1", "n", "t", "0"}});
+  w.members.at("m7").routes->update_workers({{"w-1", "n", "t", "0"}});
   w.offer("m5", table(2));
   w.run(2 * kSecond);
   CHECK(w.all_place_by(1));
@@ -229,7 +229,7 @@
   w.record.append({{"by-hand", 1, 2}, AnswerRoutes{2, "ghost", "", true}});
   w.record.append({{"by-hand", 1, 3}, ActivateRoutes{2, 0}});
   w.run(2 * kSecond);
-  for (auto& [name, b] : w.members) CHECK(b.placing == Placing::fenced);
+  for (auto& [name, b] : w.members) CHECK(b.mode == PlacementMode::fenced);
   CHECK(std::string(w.members.at("m5").routes->why_fenced()) == "does not hold the version in force yet");
   w.offer("m5", table(3));
   w.run(2 * kSecond);
@@ -244,7 +244,7 @@
   w.kill("m2");
   w.run(4 * kSecond);
   for (auto& [name, b] : w.members)
-    if (b.up) CHECK(b.placing == Placing::fenced);
+    if (b.up) CHECK(b.mode == PlacementMode::fenced);
   CHECK(w.agreed_routes().next == 0);
   w.restart("m1");
   w.restart("m2");
@@ -279,9 +279,9 @@
   w.run(2 * kSecond);
   CHECK(w.members.at("m5").version == 2);
   for (const char* m : {"m6", "m7", "m8"}) {
-    CHECK(w.members.at(m).placing == Placing::fenced);
-    CHECK(w.members.at(m).routes->try_again(0) >= w.record.settings.lease);
-    CHECK(w.members.at(m).routes->try_again(0) <= 2 * w.record.settings.lease);
+    CHECK(w.members.at(m).mode == PlacementMode::fenced);
+    CHECK(w.members.at(m).routes->retry_after(0) >= w.record.settings.lease);
+    CHECK(w.members.at(m).routes->retry_after(0) <= 2 * w.record.settings.lease);
   }
   for (auto& [name, b] : w.members) b.side = 0;
   w.run(kSecond);
@@ -296,12 +296,12 @@
   w.run(2 * kSecond);
   w.offer("m5", table(2, "south"));
   w.run(2 * kSecond);
-  CHECK(cut.placing == Placing::alone);
+  CHECK(cut.mode == PlacementMode::alone);
   CHECK(cut.routes->counts().alone > 0);
   CHECK(cut.routes->route(w.clock(cut), "", "", "7").version == 1);
   w.restart("m7");  // one that holds no table has none to keep to
   w.run(kSecond);
-  CHECK(cut.placing == Placing::fenced);
+  CHECK(cut.mode == PlacementMode::fenced);
   cut.side = 0;
   w.run(kSecond);
   CHECK(w.all_place_by(2));
@@ -310,7 +310,7 @@
   tell("m7", {0, Grant{900'000'000'000'000, 0, w.record.now + 500 * kMillisecond, 0}, 9, 1'000'000'000});
   Outbox out;
   cut.routes->step(w.clock(cut), *cut.record, {"m7"}, out);
-  CHECK(cut.routes->placing(w.clock(cut)) == Placing::alone);
+  CHECK(cut.routes->placement_mode(w.clock(cut)) == PlacementMode::alone);
   CHECK(cut.routes->route(w.clock(cut), "", "", "7").version == 2);
 }
 
@@ -322,7 +322,7 @@
     w.offer("m5", table(2));
     w.until([&] { return phase ? w.agreed_routes().next == 2 : w.agreed_routes().staged == 2; });
     w.restart("m8");
-    CHECK(w.members.at("m8").routes->placing(w.clock(w.members.at("m8"))) == Placing::fenced);
+    CHECK(w.members.at("m8").routes->placement_mode(w.clock(w.members.at("m8"))) == PlacementMode::fenced);
     w.run(3 * kSecond);
     CHECK(w.all_place_by(2));
     w.verdict();
--- a/tests/fleet/routes/node_test.cpp
+++ b/tests/fleet/routes/node_test.cpp
@@ -94,7 +94,7 @@
   auto& slept = w.members.at("m7");
   slept.asleep_until = 0;
   CHECK(w.last.count(2) == 1);
-  CHECK(slept.node->routes()->placing(w.clock(slept)) == Placing::fenced);
+  CHECK(slept.node->routes()->placement_mode(w.clock(slept)) == PlacementMode::fenced);
   w.run(3 * kSecond);
   w.all_by(2);
 }
@@ -115,7 +115,7 @@
   w.start("m7");
   for (int round = 0; round < 3; ++round) {
     for (const Nodes::Event& e : old) w.deliver(e);
-    CHECK(w.members.at("m7").node->routes()->placing(w.now) != Placing::plain);
+    CHECK(w.members.at("m7").node->routes()->placement_mode(w.now) != PlacementMode::no_table);
     w.run(100 * kMillisecond);
   }
   w.run(6 * kSecond);
@@ -133,7 +133,7 @@
     INFO(w.standing());
     CHECK(w.placing_by(2) == 5);
   }
-  for (const char* m : {"m5", "m6", "m7", "m8"}) CHECK(w.members.at(m).placing == Placing::fenced);
+  for (const char* m : {"m5", "m6", "m7", "m8"}) CHECK(w.members.at(m).mode == PlacementMode::fenced);
   for (auto& [name, one] : w.members) one.side = 0;
   w.run(6 * kSecond);
   w.all_by(2);
@@ -145,7 +145,7 @@
   w.kill("m2");
   w.run(4 * kSecond);
   for (auto& [name, one] : w.members)
-    if (one.node) CHECK(one.placing == Placing::fenced);
+    if (one.node) CHECK(one.mode == PlacementMode::fenced);
   w.start("m1");
   w.start("m2");
   w.run(8 * kSecond);
@@ -173,7 +173,7 @@
     far.run(3 * kSecond);
     INFO(far.standing());
     CHECK(far.placing_by(1) == 8);
-    CHECK(far.members.at("m7").placing == Placing::fenced);
+    CHECK(far.members.at("m7").mode == PlacementMode::fenced);
     CHECK(far.members.at("m7").placed == 0);
   }
 }
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/nodes.h
@@ -47,7 +47,7 @@
     Time offset = 0, asleep_until = 0, due = 0;
     int side = 0;
     std::uint64_t version = 0, placed = 0, fenced = 0;
-    Placing placing = Placing::fenced;
+    PlacementMode mode = PlacementMode::fenced;
   };
   std::map<std::string, One> members;
   std::map<std::string, std::string> named;  // by address
@@ -106,9 +106,9 @@
     parts.incarnation = ++one.incarnation;
     parts.seed = random();
     one.node = std::make_unique<Node>(std::move(parts), clock(one));
-    one.node->routes()->workers({{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}});
+    one.node->routes()->update_workers({{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}});
     one.due = 0;
-    one.placing = Placing::fenced;
+    one.mode = PlacementMode::fenced;
   }
   void kill(const std::string& name) { members.at(name).node.reset(); }
   void sleep(const std::string& name, Time span) { members.at(name).asleep_until = now + span; }
@@ -161,14 +161,14 @@
       return;
     }
     Outbox out;
-    one.node->heard(clock(one), e.from, e.sent_at);
+    one.node->observe_clock(clock(one), e.from, e.sent_at);
     one.node->received(clock(one), e.from, e.what.component, e.what.body, e.what.transport, out);
     one.due = std::min(one.due, one.node->next_due());
     post(e.to, out);
   }
   void place(const std::string& name, One& one) {
-    one.placing = one.node->routes()->placing(clock(one));
-    if (one.placing == Placing::fenced || one.placing == Placing::alone) return void(++one.fenced);
+    one.mode = one.node->routes()->placement_mode(clock(one));
+    if (one.mode == PlacementMode::fenced || one.mode == PlacementMode::alone) return void(++one.fenced);
     one.version = one.node->routes()->route(clock(one), "ride", "", "7").version;
     ++one.placed;
     first.try_emplace(one.version, now);
@@ -207,8 +207,8 @@
   std::size_t placing_by(std::uint64_t version) const {
     std::size_t n = 0;
     for (auto& [name, one] : members)
-      n +=
-          one.node && one.version == version && one.placing == (version ? Placing::by_table : Placing::plain);
+      n += one.node && one.version == version &&
+           one.mode == (version ? PlacementMode::by_table : PlacementMode::no_table);
     return n;
   }
   std::string standing() const {
@@ -218,7 +218,7 @@
       if (!one.node)
         text += "dead";
       else
-        text += "placing " + std::to_string(static_cast<int>(one.placing)) + " by " +
+        text += "placing " + std::to_string(static_cast<int>(one.mode)) + " by " +
                 std::to_string(one.version) + " " + one.node->routes()->why_fenced() + "; view " +
                 std::to_string(one.node->view().live_count()) + ", term " +
                 std::to_string(one.node->record().term()) + ", applied " +
--- a/tests/fleet/routes/table_test.cpp
+++ b/tests/fleet/routes/table_test.cpp
@@ -28,7 +28,7 @@
 
 std::string why(const std::string& text, std::uint64_t newest = 0) {
   try {
-    table_in(text, "deploy/routes.json", newest, kCalls, kListed);
+    parse_and_check_table(text, "deploy/routes.json", newest, kCalls, kListed);
   } catch (const config::DecodeError& error) {
     return error.what();
   }
@@ -93,17 +93,17 @@
   std::ifstream file(MARBLEHUB_SOURCE "/deploy/routes.json");
   std::ostringstream text;
   text << file.rdbuf();
-  CHECK(table_in(text.str(), "deploy/routes.json", 7, {}, kListed).version == 0);
+  CHECK(parse_and_check_table(text.str(), "deploy/routes.json", 7, {}, kListed).version == 0);
 }
 
 TEST_CASE("a worker carries the bits of its pools, and every worker one more") {
-  Table table = table_in(
+  Table table = parse_and_check_table(
       R"({"version": 1, "pools": [{"name": "n", "zones": ["n"]}, {"name": "both", "zones": ["n", "s"]},)"
       R"( {"name": "s-small", "zones": ["s"], "types": ["small"]}, {"name": "one", "workers": ["w-2"]}]})",
       "f", 0, kCalls, kListed);
-  CHECK(pools_in(table, kListed[0]) == (kEveryWorker | 3));
-  CHECK(pools_in(table, kListed[1]) == (kEveryWorker | 14));
-  CHECK((Route{}.pool & kEveryWorker) != 0);
+  CHECK(pools_containing(table, kListed[0]) == (kAnyWorkerBit | 3));
+  CHECK(pools_containing(table, kListed[1]) == (kAnyWorkerBit | 14));
+  CHECK((Route{}.pool & kAnyWorkerBit) != 0);
 }
 
 TEST_CASE("the first rule that fits is met, as by going through them all, without allocation") {
@@ -139,11 +139,11 @@
       const Route route = matcher.route(c, t, a);
       CHECK(allocations == before);
       auto bit = [](const std::string& pool) {
-        return pool.empty() ? Pools{0} : Pools{1} << std::stoi(pool.substr(1));
+        return pool.empty() ? PoolMask{0} : PoolMask{1} << std::stoi(pool.substr(1));
       };
       CHECK(route.version == 5);
-      CHECK(route.pool == (best < kept.size() ? bit(kept[best].pool) : ~Pools{0}));
-      CHECK(route.fallback == (best < kept.size() ? bit(kept[best].fallback) : ~Pools{0}));
+      CHECK(route.pool == (best < kept.size() ? bit(kept[best].pool) : ~PoolMask{0}));
+      CHECK(route.fallback == (best < kept.size() ? bit(kept[best].fallback) : ~PoolMask{0}));
     }
   }
 }
--- a/tests/fleet/routes/world.h
+++ b/tests/fleet/routes/world.h
@@ -39,7 +39,7 @@
     Time due = 0;
     std::uint64_t placed = 0, fenced = 0, alone = 0;
     std::uint64_t version = 0;
-    Placing placing = Placing::fenced;
+    PlacementMode mode = PlacementMode::fenced;
   };
   Agreed record;
   std::map<std::string, Balancer> members;
@@ -65,7 +65,7 @@
     record.clock_of = [this](const std::string& m) { return record.now + members.at(m).offset; };
     record.heard = [this](const std::string& to, const std::string& from, Time sent_at) {
       Balancer& b = members.at(to);
-      b.routes->heard(clock(b), from, sent_at);
+      b.routes->observe_clock(clock(b), from, sent_at);
       b.due = 0;
       met[to][from] = record.now;
     };
@@ -96,7 +96,7 @@
     b.record.reset();
     b.record = std::make_unique<Record>(b.settings, b.incarnation, nullptr, true, 1, clock(b));
     b.routes = std::make_unique<Routes>(b.settings, KnownCalls{{"ride", "park"}, {}}, clock(b));
-    b.routes->workers(listed());
+    b.routes->update_workers(listed());
     b.due = 0;
   }
   void kill(const std::string& m) {
@@ -131,9 +131,9 @@
   }
   void place(const std::string& name, Balancer& b) {
     const Time now = record.now;
-    b.placing = b.routes->placing(clock(b));
-    if (b.placing == Placing::fenced) return void(++b.fenced);
-    if (b.placing == Placing::alone) return void(++b.alone);
+    b.mode = b.routes->placement_mode(clock(b));
+    if (b.mode == PlacementMode::fenced) return void(++b.fenced);
+    if (b.mode == PlacementMode::alone) return void(++b.alone);
     b.version = b.routes->route(clock(b), "ride", "", "7").version;
     ++b.placed;
     first.try_emplace(b.version, now);
@@ -183,7 +183,8 @@
   }
   bool all_place_by(std::uint64_t version) const {
     for (auto& [name, b] : members)
-      if (b.up && (b.placing != (version ? Placing::by_table : Placing::plain) || b.version != version))
+      if (b.up &&
+          (b.mode != (version ? PlacementMode::by_table : PlacementMode::no_table) || b.version != version))
         return false;
     return true;
   }
--- a/tests/fleet/service/pools_test.cpp
+++ b/tests/fleet/service/pools_test.cpp
@@ -21,7 +21,7 @@
   Pooled() : nodes(3, 3) {
     nodes.run(5'000'000, 10'000);
     list({"n-1", "n-2", "s-1"});
-    nodes.members.at("m0").node->routes()->workers(workers.listed());
+    nodes.members.at("m0").node->routes()->update_workers(workers.listed());
     nodes.offer("m0", R"({"version": 1, "pools": [{"name": "north", "workers": ["n-1", "n-2", "w-1"]},
       {"name": "south", "workers": ["s-1", "w-2"]}], "rules": [
       {"class": "ride", "pool": "north", "fallback": "south"}], "otherwise": "north"})");
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -138,7 +138,7 @@
   Findings findings;
   try {
     if (kind == FileKind::routes) {  // decoded from the raw text, whose size is limited
-      fleet::table_of(text, "");
+      fleet::parse_table(text, "");
       return findings;
     }
     Options options = flatten(text, "");
