--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -13,15 +13,15 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr int kDatagramsAtOnce = 64;  // then others on the loop have their turn
+constexpr int kMaxDatagramsPerRead = 64;  // then others on the loop have their turn
 constexpr int kSocketBuffer = 1 << 20;
-constexpr std::size_t kHeardFromMost = 2048;
-constexpr Time kClockLook = 200 * kMillisecond;
-const char* const kReasons[] = {"too_long", "cut",        "other_fleet", "forged", "schema",
-                                "stale",    "stranger",   "streams",     "queue",  "unreachable",
-                                "stalled",  "no_address", "datagram",    "too_big"};
+constexpr std::size_t kMaxObservedAddresses = 2048;
+constexpr Time kClockCheckInterval = 200 * kMillisecond;
+const char* const kDropReasons[] = {"too_long", "cut",        "other_fleet", "forged", "schema",
+                                    "stale",    "stranger",   "streams",     "queue",  "unreachable",
+                                    "stalled",  "no_address", "datagram",    "too_big"};
 
-const char* reason_of(DropReason why) {
+const char* drop_reason_text(DropReason why) {
   switch (why) {
     case DropReason::too_long:
       return "too_long";
@@ -39,7 +39,7 @@
   return "stale";
 }
 
-const char* word_of(MemberStatus status) {
+const char* status_text(MemberStatus status) {
   switch (status) {
     case MemberStatus::alive:
       return "alive";
@@ -64,17 +64,18 @@
       settings_(parts.settings),
       incarnation_(parts.incarnation),
       sealer_(std::move(sealer)),
-      gate_(settings_),
+      sender_filter_(settings_),
       udp_(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
-      reading_(loop, [this](int) { datagrams(); }),
-      due_(loop, [this] { with([](Node& node, Time now, Outbox& out) { node.tick(now, out); }); }),
+      udp_watch_(loop, [this](int) { read_datagrams(); }),
+      tick_timer_(loop,
+                  [this] { with_node([](Node& node, Time now, Outbox& out) { node.tick(now, out); }); }),
       sent_(m.counter("marblehub_fleet_messages_sent_total", "Messages to other balancers")),
-      sent_octets_(m.counter("marblehub_fleet_sent_bytes_total", "Octets to other balancers, sealed")),
+      sent_bytes_(m.counter("marblehub_fleet_sent_bytes_total", "Octets to other balancers, sealed")),
       received_(
           m.counter("marblehub_fleet_messages_received_total", "Messages that verified and were let in")),
       alive_(
           gauge(m, "marblehub_fleet_members_alive", "Balancers alive as this one has it, itself included")),
-      settled_(
+      converged_(
           gauge(m, "marblehub_fleet_view_settled", "1 while no member is suspected and nothing changes")),
       digest_(gauge(m, "marblehub_fleet_view_digest", "The view's digest, its lower 32 bits")),
       generations_(gauge(m, "marblehub_fleet_view_generation", "Changes of the view since the start")),
@@ -82,8 +83,8 @@
       applied_(gauge(m, "marblehub_fleet_record_applied", "Entries of the record applied here")),
       health_(gauge(m, "marblehub_fleet_health", "How far this balancer doubts itself; 0 is well")),
       clock_(gauge(m, "marblehub_fleet_clock_off", "1 while the clock is further from most than the bound")) {
-  for (const char* reason : kReasons)
-    dropped_[reason] =
+  for (const char* reason : kDropReasons)
+    drop_counters_[reason] =
         &m.counter("marblehub_fleet_messages_dropped_total",
                    "Messages of the fleet that were dropped, by the reason", {{"reason", reason}});
   const sockaddr_in own = *config::parse_address(settings_.listen);  // checked when it was decoded
@@ -91,38 +92,39 @@
     throw std::runtime_error("fleet: listen: cannot bind " + settings_.listen + ": " + std::strerror(errno));
   setsockopt(udp_.get(), SOL_SOCKET, SO_RCVBUF, &kSocketBuffer, sizeof kSocketBuffer);
   try {
-    peers_ = std::make_unique<Peers>(
+    streams_ = std::make_unique<PeerStreams>(
         loop_, own,
-        Peers::Heard{[this](std::string_view octets) { return arrived(octets, Transport::stream, nullptr); },
-                     [this](const char* reason) { dropped(reason); }});
+        PeerStreams::Callbacks{
+            [this](std::string_view bytes) { return handle_message(bytes, Transport::stream, nullptr); },
+            [this](const char* reason) { count_drop(reason); }});
   } catch (const std::runtime_error& error) {
     throw std::runtime_error("fleet: listen: cannot bind " + settings_.listen + ": " + error.what());
   }
   node_ = std::make_unique<Node>(std::move(parts), now());
   log::info("fleet: {} belongs to {}, reached at {}", settings_.name, settings_.fleet, settings_.advertise);
-  reading_.start(udp_.get(), EV_READ);
-  follow_view();
-  due_.start(0);
+  udp_watch_.start(udp_.get(), EV_READ);
+  apply_view_changes();
+  tick_timer_.start(0);
 }
 
 NodeDriver::~NodeDriver() = default;
 
-void NodeDriver::with(const std::function<void(Node&, Time now, Outbox&)>& act) {
+void NodeDriver::with_node(const std::function<void(Node&, Time now, Outbox&)>& act) {
   Outbox out;
   act(*node_, now(), out);
   send(out);
-  after();
+  after_step();
 }
 
 void NodeDriver::leave() {
   if (leaving_) return;
   leaving_ = true;
-  with([](Node& node, Time now, Outbox& out) { node.leave(now, out); });
+  with_node([](Node& node, Time now, Outbox& out) { node.leave(now, out); });
 }
 
-void NodeDriver::datagrams() {
+void NodeDriver::read_datagrams() {
   char buffer[kMaxDatagramBytes + 1];
-  for (int i = 0; i < kDatagramsAtOnce; ++i) {
+  for (int i = 0; i < kMaxDatagramsPerRead; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
     ssize_t n = ::recvfrom(udp_.get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size);
@@ -130,30 +132,31 @@
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
     if (n < 0) continue;  // the word of an earlier one that was not taken
     if (static_cast<std::size_t>(n) > kMaxDatagramBytes)
-      dropped("too_long");
+      count_drop("too_long");
     else
-      arrived({buffer, static_cast<std::size_t>(n)}, Transport::datagram, &from);
+      handle_message({buffer, static_cast<std::size_t>(n)}, Transport::datagram, &from);
   }
 }
 
-bool NodeDriver::arrived(std::string_view octets, Transport transport, const sockaddr_in* from) {
+bool NodeDriver::handle_message(std::string_view bytes, Transport transport, const sockaddr_in* from) {
   DropReason why = DropReason::malformed;
-  auto envelope = sealer_.open(octets, why, transport);
+  auto envelope = sealer_.open(bytes, why, transport);
   if (!envelope) {
-    dropped(reason_of(why));
+    count_drop(drop_reason_text(why));
     return false;
   }
   // What verified but is not let in is no reason to end a stream: the next frame may be.
   if (envelope->sender == settings_.name && envelope->incarnation == incarnation_) return true;
   Time arrived_at = now();
-  if (auto refusal = gate_.refuses(arrived_at, *envelope)) {
-    dropped(*refusal == Gate::Refusal::stale ? "stale" : "stranger");
+  if (auto refusal = sender_filter_.check(arrived_at, *envelope)) {
+    count_drop(*refusal == SenderFilter::Rejection::stale ? "stale" : "stranger");
     return true;
   }
   received_.add();
-  if (from && heard_from_.size() < kHeardFromMost && !node_->view().members().count(envelope->sender))
-    heard_from_[envelope->sender] = *from;
-  with([&](Node& node, Time at, Outbox& out) {
+  if (from && observed_addresses_.size() < kMaxObservedAddresses &&
+      !node_->view().members().count(envelope->sender))
+    observed_addresses_[envelope->sender] = *from;
+  with_node([&](Node& node, Time at, Outbox& out) {
     node.observe_clock(at, envelope->sender, envelope->sent_at);
     node.received(at, envelope->sender, envelope->component, envelope->body, transport, out);
   });
@@ -166,8 +169,8 @@
   const auto& members = node_->view().members();
   if (auto it = members.find(name); it != members.end())
     if (auto address = config::parse_address(it->second.address)) return address;
-  auto it = heard_from_.find(name);
-  return it == heard_from_.end() ? std::nullopt : std::optional(it->second);
+  auto it = observed_addresses_.find(name);
+  return it == observed_addresses_.end() ? std::nullopt : std::optional(it->second);
 }
 
 void NodeDriver::send(Outbox& out) {
@@ -175,7 +178,7 @@
   for (Outgoing& message : out) {
     auto to = address_of(message.to);
     if (!to || to->sin_port == 0) {
-      dropped("no_address");
+      count_drop("no_address");
       continue;
     }
     Envelope envelope;
@@ -190,36 +193,36 @@
     std::string sealed = sealer_.seal(envelope);
     if (sealed.size() >
         (message.transport == Transport::stream ? kMaxStreamMessageBytes : kMaxDatagramBytes)) {
-      dropped("too_big");
+      count_drop("too_big");
       continue;
     }
     sent_.add();
-    sent_octets_.add(static_cast<double>(sealed.size()));
+    sent_bytes_.add(static_cast<double>(sealed.size()));
     if (message.transport == Transport::stream)
-      peers_->send(*to, sealed);
+      streams_->send(*to, sealed);
     else if (::sendto(udp_.get(), sealed.data(), sealed.size(), 0, reinterpret_cast<const sockaddr*>(&*to),
                       sizeof *to) < 0)
-      dropped("datagram");
+      count_drop("datagram");
   }
 }
 
-void NodeDriver::after() {
-  if (node_->view().generation() != generation_) follow_view();
-  settled_.set(node_->view().converged(now()));
+void NodeDriver::after_step() {
+  if (node_->view().generation() != generation_) apply_view_changes();
+  converged_.set(node_->view().converged(now()));
   health_.set(node_->view().local_health());
   applied_.set(static_cast<double>(node_->record().ledger().applied));
-  if (auto twin = node_->view().name_conflict(); twin && !refused_) {
-    refused_ = true;
-    log::error("fleet: another process is {} already, {}: this one must stop", settings_.name, *twin);
-    if (on_refused_) on_refused_(*twin);
+  if (auto conflict = node_->view().name_conflict(); conflict && !name_conflict_reported_) {
+    name_conflict_reported_ = true;
+    log::error("fleet: another process is {} already, {}: this one must stop", settings_.name, *conflict);
+    if (on_name_conflict_) on_name_conflict_(*conflict);
   }
-  if (Time at = now(); at - clock_looked_at_ >= kClockLook || at < clock_looked_at_) {
-    clock_looked_at_ = at;
+  if (Time at = now(); at - clock_checked_at_ >= kClockCheckInterval || at < clock_checked_at_) {
+    clock_checked_at_ = at;
     std::vector<std::string> alive;
     for (const auto& [name, member] : node_->view().members())
       if (member.status == MemberStatus::alive || member.status == MemberStatus::suspect)
         alive.push_back(name);
-    bool off = gate_.clock_off(at, alive);
+    bool off = sender_filter_.clock_off(at, alive);
     if (off != clock_off_)
       log::warning("fleet: the clock is {} the bound of most members' clocks", off ? "beyond" : "within");
     clock_off_ = off;
@@ -227,24 +230,24 @@
   }
   if (on_step_) on_step_();
   Time due = node_->next_due();
-  if (due == due_at_ && due_.active()) return;
-  due_at_ = due;
-  due_.start(std::clamp<Time>(due - now(), 0, kSecond));  // at most a second, whatever the clock does
+  if (due == tick_due_ && tick_timer_.active()) return;
+  tick_due_ = due;
+  tick_timer_.start(std::clamp<Time>(due - now(), 0, kSecond));  // at most a second, whatever the clock does
 }
 
-void NodeDriver::follow_view() {
+void NodeDriver::apply_view_changes() {
   View& view = node_->view();
   generation_ = view.generation();
   generations_.set(static_cast<double>(generation_));
   digest_.set(static_cast<double>(view.digest() & 0xffffffffU));
   alive_.set(static_cast<double>(view.live_count()));
   for (const auto& [name, member] : view.members()) {
-    heard_from_.erase(name);
+    observed_addresses_.erase(name);
     auto [it, fresh] = statuses_.emplace(name, member.status);
     if (!fresh && it->second == member.status) continue;
     it->second = member.status;
     given_up_.add(member.status == MemberStatus::dead && name != settings_.name);
-    log::info("fleet: {} is {}, incarnation {}", name, word_of(member.status), member.incarnation);
+    log::info("fleet: {} is {}, incarnation {}", name, status_text(member.status), member.incarnation);
   }
   std::erase_if(statuses_, [&](const auto& known) { return !view.members().count(known.first); });
 }
--- a/src/fleet/net/gate.cpp
+++ b/src/fleet/net/gate.cpp
@@ -5,61 +5,62 @@
 
 namespace marblehub::fleet {
 
-Gate::Gate(const Settings& settings)
+SenderFilter::SenderFilter(const Settings& settings)
     : own_(settings.name), members_(settings.members), bound_(settings.clock_bound) {}
 
-std::optional<Gate::Refusal> Gate::refuses(Time arrived, const Envelope& envelope) {
+std::optional<SenderFilter::Rejection> SenderFilter::check(Time arrived, const Envelope& envelope) {
   if (!members_.empty() && std::find(members_.begin(), members_.end(), envelope.sender) == members_.end())
-    return Refusal::stranger;
+    return Rejection::unknown_sender;
   auto it = senders_.find(envelope.sender);
   if (it == senders_.end()) {
     // Nothing is known of it, so that an old copy is told by its age alone.
-    if (std::abs(arrived - envelope.sent_at) > kFirstMeeting) return Refusal::stale;
-    if (senders_.size() >= kSendersMost) return Refusal::stranger;
+    if (std::abs(arrived - envelope.sent_at) > kMaxFirstContactOffset) return Rejection::stale;
+    if (senders_.size() >= kMaxSenders) return Rejection::unknown_sender;
     it = senders_.emplace(envelope.sender, Sender{}).first;
   }
   Sender& s = it->second;
   if (envelope.incarnation > s.incarnation) {
     s = {};
     s.incarnation = envelope.incarnation;
-    s.began = s.newest = envelope.sent_at;
+    s.incarnation_started = s.newest = envelope.sent_at;
   }
   // A twin that was there before sends on, and must be heard so that the later one is told of it; what an
   // earlier process has sent before its successor began is old.
-  if (envelope.incarnation < s.incarnation && envelope.sent_at <= s.began) return Refusal::stale;
-  if (envelope.sent_at < s.newest - kReplay) return Refusal::stale;
+  if (envelope.incarnation < s.incarnation && envelope.sent_at <= s.incarnation_started)
+    return Rejection::stale;
+  if (envelope.sent_at < s.newest - kReplayWindow) return Rejection::stale;
   s.newest = std::max(s.newest, envelope.sent_at);
-  if (arrived - s.filling.since >= kClockWindow || arrived < s.filling.since) {
-    s.full = s.filling;
-    s.filling = {arrived, envelope.sent_at - arrived, 0};
+  if (arrived - s.current.since >= kClockWindow || arrived < s.current.since) {
+    s.previous = s.current;
+    s.current = {arrived, envelope.sent_at - arrived, 0};
   }
-  s.filling.ahead = std::max(s.filling.ahead, envelope.sent_at - arrived);
-  s.filling.heard += 1;
+  s.current.offset = std::max(s.current.offset, envelope.sent_at - arrived);
+  s.current.messages += 1;
   return std::nullopt;
 }
 
-std::optional<Time> Gate::clock_of(Time now, const std::string& sender) const {
+std::optional<Time> SenderFilter::clock_offset(Time now, const std::string& sender) const {
   auto it = senders_.find(sender);
   if (it == senders_.end()) return std::nullopt;
-  std::optional<Time> ahead;
-  for (const Sender::Window* w : {&it->second.filling, &it->second.full}) {
-    if (w->heard == 0 || now - w->since > 2 * kClockWindow || now < w->since) continue;
-    ahead = std::max(ahead.value_or(w->ahead), w->ahead);
+  std::optional<Time> offset;
+  for (const Sender::Window* window : {&it->second.current, &it->second.previous}) {
+    if (window->messages == 0 || now - window->since > 2 * kClockWindow || now < window->since) continue;
+    offset = std::max(offset.value_or(window->offset), window->offset);
   }
-  return ahead;
+  return offset;
 }
 
-bool Gate::clock_off(Time now, const std::vector<std::string>& alive) const {
-  std::size_t others = 0, heard = 0, ahead = 0, behind = 0;
+bool SenderFilter::clock_off(Time now, const std::vector<std::string>& alive) const {
+  std::size_t others = 0, known = 0, ahead = 0, behind = 0;
   for (const std::string& name : alive) {
     if (name == own_) continue;
     others += 1;
-    auto off = clock_of(now, name);
-    heard += off.has_value();
-    if (off && *off > bound_) ahead += 1;
-    if (off && *off < -bound_) behind += 1;
+    auto offset = clock_offset(now, name);
+    known += offset.has_value();
+    if (offset && *offset > bound_) ahead += 1;
+    if (offset && *offset < -bound_) behind += 1;
   }
-  return heard >= std::min<std::size_t>(others, 2) && 2 * std::max(ahead, behind) > heard;
+  return known >= std::min<std::size_t>(others, 2) && 2 * std::max(ahead, behind) > known;
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/net/peers.cpp
+++ b/src/fleet/net/peers.cpp
@@ -11,82 +11,83 @@
 namespace {
 
 constexpr Time kSweep = 500 * kMillisecond;
-constexpr std::size_t kHead = 4;
+constexpr std::size_t kHeaderBytes = 4;
 
-std::string framed(std::string_view sealed) {
+std::string frame_of(std::string_view sealed) {
   auto size = static_cast<std::uint32_t>(sealed.size());
-  std::string frame;
-  frame.reserve(kHead + sealed.size());
-  for (int shift = 24; shift >= 0; shift -= 8) frame.push_back(static_cast<char>(size >> shift & 0xff));
-  return frame.append(sealed);
+  std::string on_frame;
+  on_frame.reserve(kHeaderBytes + sealed.size());
+  for (int shift = 24; shift >= 0; shift -= 8) on_frame.push_back(static_cast<char>(size >> shift & 0xff));
+  return on_frame.append(sealed);
 }
 
-std::size_t length_in(std::string_view head) {
+std::size_t frame_length(std::string_view header) {
   std::size_t size = 0;
-  for (std::size_t i = 0; i < kHead; ++i) size = size << 8 | static_cast<unsigned char>(head[i]);
+  for (std::size_t i = 0; i < kHeaderBytes; ++i) size = size << 8 | static_cast<unsigned char>(header[i]);
   return size;
 }
 
 }  // namespace
 
 // Nothing is read from it: a peer answers on a stream of its own.
-struct Peers::Out final : net::Stream::Handler {
-  Out(Peers& o, Time now)
-      : owner(o), stream(std::make_unique<net::Stream>(o.loop_, *this)), since(now), used(now) {}
+struct PeerStreams::OutgoingStream final : net::Stream::Handler {
+  OutgoingStream(PeerStreams& o, Time now)
+      : owner(o), stream(std::make_unique<net::Stream>(o.loop_, *this)), created_at(now), last_used(now) {}
   void connected() override { open = true; }
   void received(std::string_view) override {}
   void drained() override { stalled_since = 0; }
   void ended(net::CloseKind ending) override {
-    if (stream->backlog() > 0) owner.heard_.dropped("unreachable");  // once for all of it
+    if (stream->backlog() > 0) owner.callbacks_.on_drop("unreachable");  // once for all of it
     if (ending == net::CloseKind::aborted) failed_at = owner.loop_.now();
     net::Stream::drop(std::move(stream));
   }
-  Peers& owner;
+  PeerStreams& owner;
   std::unique_ptr<net::Stream> stream;
-  Time since, used, stalled_since = 0, failed_at = 0;
+  Time created_at, last_used, stalled_since = 0, failed_at = 0;
   bool open = false;
 };
 
-struct Peers::In final : net::Stream::Handler {
-  In(Peers& o, Time now) : owner(o), stream(std::make_unique<net::Stream>(o.loop_, *this)), used(now) {}
-  void received(std::string_view octets) override {
-    used = owner.loop_.now();
-    in.append(octets);
+struct PeerStreams::IncomingStream final : net::Stream::Handler {
+  IncomingStream(PeerStreams& o, Time now)
+      : owner(o), stream(std::make_unique<net::Stream>(o.loop_, *this)), last_used(now) {}
+  void received(std::string_view bytes) override {
+    last_used = owner.loop_.now();
+    buffer.append(bytes);
     std::size_t at = 0;
-    while (in.size() - at >= kHead) {
-      std::size_t size = length_in(std::string_view(in).substr(at));
+    while (buffer.size() - at >= kHeaderBytes) {
+      std::size_t size = frame_length(std::string_view(buffer).substr(at));
       if (size > kMaxStreamMessageBytes) {
-        owner.heard_.dropped("too_long");
+        owner.callbacks_.on_drop("too_long");
         return end();
       }
-      if (in.size() - at - kHead < size) break;
-      bool good = owner.heard_.frame(std::string_view(in).substr(at + kHead, size));
-      if (!good) return end();
-      if (!proven) owner.unproven_ -= 1;
-      proven = true;
-      at += kHead + size;
+      if (buffer.size() - at - kHeaderBytes < size) break;
+      bool accepted = owner.callbacks_.on_frame(std::string_view(buffer).substr(at + kHeaderBytes, size));
+      if (!accepted) return end();
+      if (!verified) owner.unverified_ -= 1;
+      verified = true;
+      at += kHeaderBytes + size;
     }
-    in.erase(0, at);
+    buffer.erase(0, at);
   }
   void ended(net::CloseKind) override { end(); }
   void end() {  // ends this object
     net::Stream::drop(std::move(stream));
-    if (!proven) owner.unproven_ -= 1;
+    if (!verified) owner.unverified_ -= 1;
     auto it = owner.incoming_.find(this);
-    std::shared_ptr<In> self = std::move(it->second);
+    std::shared_ptr<IncomingStream> self = std::move(it->second);
     owner.incoming_.erase(it);
     owner.loop_.defer_release(std::move(self));
   }
-  Peers& owner;
+  PeerStreams& owner;
   std::unique_ptr<net::Stream> stream;
-  std::string in;
-  Time used;
-  bool proven = false;
+  std::string buffer;
+  Time last_used;
+  bool verified = false;
 };
 
-Peers::Peers(net::Loop& loop, const sockaddr_in& listen, Heard heard)
+PeerStreams::PeerStreams(net::Loop& loop, const sockaddr_in& listen, Callbacks callbacks)
     : loop_(loop),
-      heard_(std::move(heard)),
+      callbacks_(std::move(callbacks)),
       listener_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
       accepting_(loop, [this](int) { accept(); }),
       sweep_(loop, [this] { sweep(); }) {
@@ -95,18 +96,18 @@
   if (!listener_ || ::bind(listener_.get(), reinterpret_cast<const sockaddr*>(&listen), sizeof listen) != 0 ||
       ::listen(listener_.get(), 128) != 0)
     throw std::runtime_error(std::string("no TCP listener: ") + std::strerror(errno));
-  listen_again();
+  start_accepting();
   sweep_.start(kSweep);
 }
 
-Peers::~Peers() {
+PeerStreams::~PeerStreams() {
   for (auto& [address, out] : outgoing_) net::Stream::drop(std::move(out->stream));
   for (auto& [key, in] : incoming_) net::Stream::drop(std::move(in->stream));
 }
 
-void Peers::listen_again() { accepting_.start(listener_.get(), EV_READ); }
+void PeerStreams::start_accepting() { accepting_.start(listener_.get(), EV_READ); }
 
-void Peers::accept() {
+void PeerStreams::accept() {
   for (int round = 0; round < 16; ++round) {
     net::Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
@@ -114,66 +115,67 @@
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) accepting_.stop();
       return;
     }
-    if (incoming_.size() >= kStreamsMost || unproven_ >= kUnprovenMost) {
-      heard_.dropped("streams");
+    if (incoming_.size() >= kMaxIncomingStreams || unverified_ >= kMaxUnverifiedStreams) {
+      callbacks_.on_drop("streams");
       continue;
     }
-    auto in = std::make_unique<In>(*this, loop_.now());
-    In* key = in.get();
-    unproven_ += 1;
+    auto in = std::make_unique<IncomingStream>(*this, loop_.now());
+    IncomingStream* key = in.get();
+    unverified_ += 1;
     incoming_.emplace(key, std::move(in));
     key->stream->adopt(std::move(fd));
   }
 }
 
-void Peers::send(const sockaddr_in& to, std::string_view sealed) {
+void PeerStreams::send(const sockaddr_in& to, std::string_view sealed) {
   Time now = loop_.now();
   auto& out = outgoing_[{to.sin_addr.s_addr, to.sin_port}];
   if (out && !out->stream) {
-    if (out->failed_at != 0 && now - out->failed_at < kAfterFailure) return heard_.dropped("unreachable");
+    if (out->failed_at != 0 && now - out->failed_at < kReconnectDelay)
+      return callbacks_.on_drop("unreachable");
     out.reset();
   }
   if (!out) {
-    out = std::make_unique<Out>(*this, now);
+    out = std::make_unique<OutgoingStream>(*this, now);
     out->stream->connect(to);
   }
-  if (out->stream->backlog() + sealed.size() > kStreamQueue) return heard_.dropped("queue");
-  out->used = now;
-  out->stream->write(framed(sealed));
+  if (out->stream->backlog() + sealed.size() > kMaxStreamQueueBytes) return callbacks_.on_drop("queue");
+  out->last_used = now;
+  out->stream->write(frame_of(sealed));
   if (out->stream->backlog() > 0 && out->stalled_since == 0) out->stalled_since = now;
   if (out->stream->backlog() == 0) out->stalled_since = 0;
 }
 
 // Bounds on time: to connect, to be read by the peer, to show the key, to be of use.
-void Peers::sweep() {
+void PeerStreams::sweep() {
   Time now = loop_.now();
   for (auto it = outgoing_.begin(); it != outgoing_.end();) {
-    Out& out = *it->second;
+    OutgoingStream& out = *it->second;
     if (out.stream) {
-      bool late = !out.open && now - out.since > kConnectWithin;
-      bool stalled = out.open && out.stalled_since > 0 && now - out.stalled_since > kStalled;
+      bool late = !out.open && now - out.created_at > kConnectTimeout;
+      bool stalled = out.open && out.stalled_since > 0 && now - out.stalled_since > kStallTimeout;
       if (late || stalled) {
-        heard_.dropped(late ? "unreachable" : "stalled");
+        callbacks_.on_drop(late ? "unreachable" : "stalled");
         out.failed_at = now;
         net::Stream::reset(std::move(out.stream));
-      } else if (now - out.used > kIdle) {
+      } else if (now - out.last_used > kIdleTimeout) {
         net::Stream::finish(std::move(out.stream));
       }
     }
-    it = !out.stream && (out.failed_at == 0 || now - out.failed_at > kAfterFailure) ? outgoing_.erase(it)
-                                                                                    : std::next(it);
+    it = !out.stream && (out.failed_at == 0 || now - out.failed_at > kReconnectDelay) ? outgoing_.erase(it)
+                                                                                      : std::next(it);
   }
   for (auto it = incoming_.begin(); it != incoming_.end();) {
-    In& in = *(it++)->second;
-    Time quiet = now - in.used;
-    if (!in.proven && quiet > kUnproven) heard_.dropped("streams");
-    if ((!in.proven && quiet > kUnproven) || quiet > 2 * kIdle) in.end();
+    IncomingStream& in = *(it++)->second;
+    Time quiet = now - in.last_used;
+    if (!in.verified && quiet > kVerifyTimeout) callbacks_.on_drop("streams");
+    if ((!in.verified && quiet > kVerifyTimeout) || quiet > 2 * kIdleTimeout) in.end();
   }
-  if (listener_) listen_again();
+  if (listener_) start_accepting();
   sweep_.start(kSweep);
 }
 
-void Peers::flush_and_close() {
+void PeerStreams::flush_and_close() {
   accepting_.stop();
   listener_.reset();
   for (auto& [address, out] : outgoing_) net::Stream::finish(std::move(out->stream));
--- a/src/fleet/net/peers.h
+++ b/src/fleet/net/peers.h
@@ -16,22 +16,23 @@
 
 namespace marblehub::fleet {
 
-constexpr std::size_t kStreamQueue =
-    2 * kMaxStreamMessageBytes;             // octets unsent to one peer; more are dropped
-constexpr std::size_t kStreamsMost = 1024;  // of others
-constexpr std::size_t kUnprovenMost = 64;   // of others that have not shown the key yet
-constexpr Time kUnproven = 5 * kSecond;     // until a stream must have shown it
-constexpr Time kConnectWithin = 2 * kSecond, kStalled = 10 * kSecond, kIdle = 60 * kSecond;
-constexpr Time kAfterFailure = 200 * kMillisecond;  // a peer that could not be reached is left alone so long
-
-class Peers {
+constexpr std::size_t kMaxStreamQueueBytes =
+    2 * kMaxStreamMessageBytes;                    // octets unsent to one peer; more are dropped
+constexpr std::size_t kMaxIncomingStreams = 1024;  // of others
+constexpr std::size_t kMaxUnverifiedStreams = 64;  // of others that have not shown the key yet
+constexpr Time kVerifyTimeout = 5 * kSecond;       // until a stream must have shown it
+constexpr Time kConnectTimeout = 2 * kSecond, kStallTimeout = 10 * kSecond, kIdleTimeout = 60 * kSecond;
+constexpr Time kReconnectDelay =
+    200 * kMillisecond;  // a peer that could not be reached is left alone so long
+
+class PeerStreams {
  public:
-  struct Heard {
-    std::function<bool(std::string_view octets)> frame;  // false: it did not verify, and the stream ends
-    std::function<void(const char* reason)> dropped;
+  struct Callbacks {
+    std::function<bool(std::string_view bytes)> on_frame;  // false: it did not verify, and the stream ends
+    std::function<void(const char* reason)> on_drop;
   };
-  Peers(net::Loop& loop, const sockaddr_in& listen, Heard heard);  // throws std::runtime_error
-  ~Peers();
+  PeerStreams(net::Loop& loop, const sockaddr_in& listen, Callbacks callbacks);  // throws std::runtime_error
+  ~PeerStreams();
 
   void send(const sockaddr_in& to, std::string_view sealed);
   void flush_and_close();  // at the end: what is queued goes out in order
@@ -39,20 +40,20 @@
   std::size_t incoming() const { return incoming_.size(); }
 
  private:
-  struct Out;
-  struct In;
+  struct OutgoingStream;
+  struct IncomingStream;
   void accept();
   void sweep();
-  void listen_again();
+  void start_accepting();
 
   net::Loop& loop_;
-  Heard heard_;
+  Callbacks callbacks_;
   net::Fd listener_;
   net::IoWatch accepting_;
   net::TimerWatch sweep_;
-  std::map<std::pair<std::uint32_t, std::uint16_t>, std::unique_ptr<Out>> outgoing_;
-  std::map<In*, std::unique_ptr<In>> incoming_;
-  std::size_t unproven_ = 0;
+  std::map<std::pair<std::uint32_t, std::uint16_t>, std::unique_ptr<OutgoingStream>> outgoing_;
+  std::map<IncomingStream*, std::unique_ptr<IncomingStream>> incoming_;
+  std::size_t unverified_ = 0;
 };
 
 }  // namespace marblehub::fleet
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -70,7 +70,7 @@
     if (broken_.insert(part).second)
       log::error("fleet: {} is off, what must hold was broken: {}", part, what);
   };
-  driver_.on_refused([stop = std::move(stop)](const std::string&) { stop(); });
+  driver_.on_name_conflict([stop = std::move(stop)](const std::string&) { stop(); });
   driver_.on_step([this] { stepped(); });
   log::info("fleet: {} of {} on {}", settings_.name, settings_.fleet, settings_.listen);
   if (settings_.voters.empty() && (!settings_.routes_file.empty() || !settings_.wallet_file.empty()))
@@ -119,7 +119,7 @@
 }
 
 std::vector<std::string> Service::follow(Files next) {
-  driver_.with([&](Node& node, Time now, Outbox& out) {
+  driver_.with_node([&](Node& node, Time now, Outbox& out) {
     if (Routes* routes = followed_routes(next)) routes->offer(now, next.routes, node.record(), out);
     if (Wallets* wallets = followed_wallets(next)) wallets->update_settings(std::move(*next.wallet));
   });
@@ -127,7 +127,7 @@
 }
 
 void Service::settle() {
-  driver_.with([](Node& node, Time now, Outbox& out) {
+  driver_.with_node([](Node& node, Time now, Outbox& out) {
     if (node.wallets()) node.wallets()->return_all(now, node.record(), out);
   });
 }
@@ -174,7 +174,7 @@
 
 void Service::worker_list_updated(const config::WorkerList& list) {
   workers_.learn(list);
-  driver_.with([this](Node& node, Time, Outbox&) {
+  driver_.with_node([this](Node& node, Time, Outbox&) {
     if (node.routes()) node.routes()->update_workers(workers_.listed());
   });
 }
--- a/tests/fleet/processes/gate_test.cpp
+++ b/tests/fleet/processes/gate_test.cpp
@@ -33,13 +33,13 @@
 }  // namespace
 
 TEST_CASE("the gate holds off what is old and lets a twin be heard") {
-  Gate gate(settings());
-  auto in = [&](const Envelope& e, Time at) { return !gate.refuses(at, e); };
-  CHECK_FALSE(in(from("b", kStart - kFirstMeeting - 1), kStart));
-  CHECK_FALSE(in(from("b", kStart + kFirstMeeting + 1), kStart));
+  SenderFilter gate(settings());
+  auto in = [&](const Envelope& e, Time at) { return !gate.check(at, e); };
+  CHECK_FALSE(in(from("b", kStart - kMaxFirstContactOffset - 1), kStart));
+  CHECK_FALSE(in(from("b", kStart + kMaxFirstContactOffset + 1), kStart));
   CHECK(in(from("b", kStart), kStart));
-  CHECK(in(from("b", kStart - kReplay), kStart));  // reordered, no further than the bound
-  CHECK_FALSE(in(from("b", kStart - kReplay - 1), kStart));
+  CHECK(in(from("b", kStart - kReplayWindow), kStart));  // reordered, no further than the bound
+  CHECK_FALSE(in(from("b", kStart - kReplayWindow - 1), kStart));
   CHECK(in(from("b", kStart + kSecond, 2), kStart + kSecond));
   CHECK_FALSE(in(from("b", kStart + kSecond, 1), kStart + 2 * kSecond));  // of the process before
   CHECK(in(from("b", kStart + 2 * kSecond, 1), kStart + 2 * kSecond));    // it still lives
@@ -48,16 +48,16 @@
 TEST_CASE("members that are not named are strangers where members are") {
   Settings s = settings();
   s.members = {"a", "b"};
-  Gate gate(s);
-  CHECK(gate.refuses(kStart, from("c", kStart)) == Gate::Refusal::stranger);
-  CHECK_FALSE(gate.refuses(kStart, from("b", kStart)));
+  SenderFilter gate(s);
+  CHECK(gate.check(kStart, from("c", kStart)) == SenderFilter::Rejection::unknown_sender);
+  CHECK_FALSE(gate.check(kStart, from("b", kStart)));
 }
 
 TEST_CASE("a clock is off when most members' clocks say so, however late one message is") {
-  Gate gate(settings());
+  SenderFilter gate(settings());
   const std::vector<std::string> alive = {"a", "b", "c", "d"};
   auto hear = [&](const char* who, Time off, Time delay, Time at) {
-    (void)gate.refuses(at, from(who, at - delay + off));
+    (void)gate.check(at, from(who, at - delay + off));
   };
   Time now = kStart;
   for (int i = 0; i < 5; ++i, now += kSecond) {
@@ -65,9 +65,9 @@
     hear("c", 0, i == 1 ? kMillisecond : 200 * kMillisecond, now);
     hear("d", 300 * kMillisecond, kMillisecond, now);
   }
-  CHECK(gate.clock_of(now, "d") == 299 * kMillisecond);
-  CHECK(gate.clock_of(now, "b") == -kMillisecond);
-  CHECK_FALSE(gate.clock_of(now, "x"));
+  CHECK(gate.clock_offset(now, "d") == 299 * kMillisecond);
+  CHECK(gate.clock_offset(now, "b") == -kMillisecond);
+  CHECK_FALSE(gate.clock_offset(now, "x"));
   CHECK_FALSE(gate.clock_off(now, alive));
   for (int i = 0; i < 5; ++i, now += kSecond) hear("c", 300 * kMillisecond, kMillisecond, now);
   CHECK(gate.clock_off(now, alive));
--- a/tests/fleet/processes/node_main.cpp
+++ b/tests/fleet/processes/node_main.cpp
@@ -22,7 +22,7 @@
   fleet::EnvelopeSealer sealer(parts.settings.fleet, fleet::read_key_file(parts.settings.key_file));
   bool refused = false;
   fleet::NodeDriver driver(loop, std::move(parts), std::move(sealer), metrics);
-  driver.on_refused([&](const std::string&) {
+  driver.on_name_conflict([&](const std::string&) {
     refused = true;
     loop.stop();
   });
--- a/tests/fleet/processes/peers_test.cpp
+++ b/tests/fleet/processes/peers_test.cpp
@@ -14,17 +14,18 @@
 struct Side {
   explicit Side(net::Loop& loop) {
     at = loopback(free_port(SOCK_STREAM));
-    peers = std::make_unique<Peers>(loop, at,
-                                    Peers::Heard{[this](std::string_view octets) {
-                                                   frames.emplace_back(octets);
-                                                   return octets != "forged";
-                                                 },
-                                                 [this](const char* why) { dropped[why] += 1; }});
+    peers =
+        std::make_unique<PeerStreams>(loop, at,
+                                      PeerStreams::Callbacks{[this](std::string_view octets) {
+                                                               frames.emplace_back(octets);
+                                                               return octets != "forged";
+                                                             },
+                                                             [this](const char* why) { dropped[why] += 1; }});
   }
   sockaddr_in at{};
   std::vector<std::string> frames;
   std::map<std::string, int> dropped;
-  std::unique_ptr<Peers> peers;
+  std::unique_ptr<PeerStreams> peers;
 };
 
 void run(net::Loop& loop, Time most, const std::function<bool()>& done) {
@@ -87,10 +88,11 @@
   CHECK(a.dropped["too_long"] == 1);
   CHECK(a.peers->incoming() == 0);
   std::vector<int> crowd;
-  for (std::size_t i = 0; i < kUnprovenMost + 8; ++i) crowd.push_back(connected(ntohs(a.at.sin_port)));
+  for (std::size_t i = 0; i < kMaxUnverifiedStreams + 8; ++i)
+    crowd.push_back(connected(ntohs(a.at.sin_port)));
   run(loop, kSecond, [&] { return a.dropped["streams"] == 8; });
   CHECK(a.dropped["streams"] == 8);
-  CHECK(a.peers->incoming() == kUnprovenMost);
+  CHECK(a.peers->incoming() == kMaxUnverifiedStreams);
   for (int fd : crowd) ::close(fd);
   run(loop, kSecond, [&] { return a.peers->incoming() == 0; });
   CHECK(a.peers->incoming() == 0);
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -85,7 +85,7 @@
     add(ours.seal(newer), "schema");
     add(theirs.seal(from("boris", now)), "other_fleet");
     add(forger.seal(from("boris", now)), "forged");
-    add(ours.seal(from("boris", now - 2 * kFirstMeeting)), "stale");
+    add(ours.seal(from("boris", now - 2 * kMaxFirstContactOffset)), "stale");
     add(ours.seal(from("mallory", now)), "stranger");
   }
   Changer changer{std::mt19937_64(20261206)};
