--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "fleet/net/clock.h"
-#include "fleet/net/gate.h"
-#include "fleet/net/peers.h"
+#include "fleet/net/peer_streams.h"
+#include "fleet/net/sender_filter.h"
 #include "fleet/node/node.h"
 #include "fleet/wire/envelope.h"
 #include "metrics/registry.h"
--- a/src/fleet/net/peers.cpp
+++ b/src/fleet/net/peer_streams.cpp
@@ -1,4 +1,4 @@
-#include "fleet/net/peers.h"
+#include "fleet/net/peer_streams.h"
 
 #include <sys/socket.h>
 
--- a/src/fleet/net/gate.cpp
+++ b/src/fleet/net/sender_filter.cpp
@@ -1,4 +1,4 @@
-#include "fleet/net/gate.h"
+#include "fleet/net/sender_filter.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/tests/fleet/processes/gate_test.cpp
+++ b/tests/fleet/processes/gate_test.cpp
@@ -1,6 +1,4 @@
 // What the gate lets in, by examples.
-#include "fleet/net/gate.h"
-
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -8,6 +6,7 @@
 #include <fstream>
 
 #include "fleet/net/clock.h"
+#include "fleet/net/sender_filter.h"
 
 namespace marblehub::test {
 namespace {
--- a/tests/fleet/processes/peers_test.cpp
+++ b/tests/fleet/processes/peers_test.cpp
@@ -1,9 +1,8 @@
 // The fleet's streams over sockets: frames arrive whole and in order, and what breaks a bound ends its stream
 // and nothing else.
-#include "fleet/net/peers.h"
-
 #include <catch2/catch.hpp>
 
+#include "fleet/net/peer_streams.h"
 #include "support/program.h"
 
 namespace marblehub::test {
