--- a/src/fleet/service/files.cpp
+++ b/src/fleet/service/files.cpp
@@ -8,9 +8,9 @@
 namespace marblehub::fleet {
 namespace {
 
-void check_routes(const Files& files, const config::Startup& startup) {
+void check_routes(const FleetFiles& files, const config::Startup& startup) {
   PooledWorkers workers;
-  workers.learn(startup.known);
+  workers.update_list(startup.known);
   if (std::vector<ListedWorker> listed = workers.listed(); !listed.empty())
     parse_and_check_table(files.routes, files.settings.routes_file, 0, {class_names(startup), {}}, listed);
   else
@@ -25,8 +25,8 @@
   return names;
 }
 
-Files files_in(const config::Options& options, const config::Startup& startup) {
-  Files files;
+FleetFiles load_fleet_files(const config::Options& options, const config::Startup& startup) {
+  FleetFiles files;
   files.settings = settings_from(options, startup.name);
   files.values = options.values();
   const Settings& s = files.settings;
--- a/src/fleet/service/files.h
+++ b/src/fleet/service/files.h
@@ -12,7 +12,7 @@
 
 namespace marblehub::fleet {
 
-struct Files {
+struct FleetFiles {
   Settings settings;
   config::Values values;  // of fleet.json, to tell what a reload would change
   std::string routes;     // the operator's words; empty: that part is off
@@ -21,7 +21,7 @@
 
 // Throws config::DecodeError with file, place and key. The files that it names are read only where it is
 // enabled. Pools are held against the workers that the start file knows, where it knows any.
-Files files_in(const config::Options& options, const config::Startup& startup);
+FleetFiles load_fleet_files(const config::Options& options, const config::Startup& startup);
 
 std::vector<std::string> class_names(const config::Startup& startup);
 
--- a/src/fleet/service/pools.h
+++ b/src/fleet/service/pools.h
@@ -17,34 +17,34 @@
 
 // A pool that was left for its fallback because the module had all of it down is used again once some worker
 // of it has been up for so long without a break: one that flaps does not take the pool's calls to and fro.
-constexpr Time kSteady = 5 * kSecond;
+constexpr Time kRecoveryTime = 5 * kSecond;
 
 class PooledWorkers {
  public:
-  using Set = std::shared_ptr<const std::set<std::string>>;
+  using WorkerSet = std::shared_ptr<const std::set<std::string>>;
 
-  void learn(const config::WorkerList& list);  // a whole list or changes: new sets where it differs
+  void update_list(const config::WorkerList& list);  // a whole list or changes: new sets where it differs
   // All that the module has down now; told five times a second.
-  void down(Time now, const std::vector<std::string>& workers);
+  void update_down(Time now, const std::vector<std::string>& workers);
   std::vector<ListedWorker> listed() const;  // those that take new calls
   // Of the route's pool. Of its fallback where none of the pool takes new calls, or where all of it are down
   // and some of the fallback is up. Empty where neither has any: the call is then held and refused as by an
   // empty list. O(log pools) after the first call for a pool.
-  Set usable(const Route& route, const Routes& routes);
-  bool some_up(const std::set<std::string>& workers) const;
-  void forget() { pools_.clear(), ++changes_; }       // a table has come into force
+  WorkerSet usable(const Route& route, const Routes& routes);
+  bool any_up(const std::set<std::string>& workers) const;
+  void reset_pools() { pools_.clear(), ++changes_; }  // a table has come into force
   std::uint64_t changes() const { return changes_; }  // from 1; grows when `usable` may answer otherwise
 
  private:
   struct Pool {
-    Set names;          // none: to be made anew
-    bool left = false;  // all of it were down, and none has been up for long
+    WorkerSet members;         // none: to be made anew
+    bool failed_over = false;  // all of it were down, and none has been up for long
     Time up_since = -1;
   };
-  Pool& of(PoolMask pools, std::uint64_t version, const Routes& routes);
+  Pool& pool_entry(PoolMask pools, std::uint64_t version, const Routes& routes);
 
-  std::map<std::string, ListedWorker> ready_;
-  std::set<std::string> down_;
+  std::map<std::string, ListedWorker> ready_workers_;
+  std::set<std::string> down_workers_;
   std::map<std::pair<std::uint64_t, PoolMask>, Pool> pools_;  // by version and bits
   std::uint64_t changes_ = 1;
 };
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -11,38 +11,38 @@
 namespace marblehub::fleet {
 namespace {
 
-const char* const kAborts[] = {"refused", "late", "replaced", "proposer_gone"};
+const char* const kAbortReasons[] = {"refused", "late", "replaced", "proposer_gone"};
 
 // Of the record's words (record/command.cpp, routes/driver.cpp), for what counts in numbers.
-const char* why_aborted(std::string_view said) {
+const char* abort_reason(std::string_view message) {
   constexpr std::string_view aborted = " aborted: ";
-  if (std::size_t at = said.find(aborted); at != said.npos) said.remove_prefix(at + aborted.size());
-  if (said.starts_with("not staged in time")) return "late";
-  if (said.starts_with("replaced by")) return "replaced";
-  return said.starts_with("its proposer is gone") ? "proposer_gone" : "refused";
+  if (std::size_t at = message.find(aborted); at != message.npos) message.remove_prefix(at + aborted.size());
+  if (message.starts_with("not staged in time")) return "late";
+  if (message.starts_with("replaced by")) return "replaced";
+  return message.starts_with("its proposer is gone") ? "proposer_gone" : "refused";
 }
 
 // The record keeps the last one: of a version that came into force since, a start finds it as history.
-bool is_history(std::string_view said, std::uint64_t in_force) {
+bool is_superseded(std::string_view message, std::uint64_t in_force) {
   constexpr std::string_view version_word = "version ";
   std::uint64_t version = 0;
-  if (!said.starts_with(version_word)) return false;
-  said.remove_prefix(version_word.size());
-  std::from_chars(said.data(), said.data() + said.size(), version);
+  if (!message.starts_with(version_word)) return false;
+  message.remove_prefix(version_word.size());
+  std::from_chars(message.data(), message.data() + message.size(), version);
   return version <= in_force;
 }
 
 }  // namespace
 
-Service::Service(net::Loop& loop, Files files, const config::Startup& startup, metrics::Registry& m,
-                 std::function<void()> stop)
+FleetService::FleetService(net::Loop& loop, FleetFiles files, const config::Startup& startup,
+                           metrics::Registry& m, std::function<void()> stop)
     : settings_(files.settings),
-      values_(files.values),
-      configured_(startup.settings.balancers),
+      start_values_(files.values),
+      configured_balancers_(startup.settings.balancers),
       classes_(class_names(startup)),
-      driver_(loop, parts(files, startup, fleet_clock(loop)),
+      driver_(loop, node_options(files, startup, fleet_clock(loop)),
               EnvelopeSealer(settings_.fleet, read_key_file(settings_.key_file)), m),
-      began_(driver_.now()),
+      started_at_(driver_.now()),
       version_(m.gauge("marblehub_fleet_routes_version", "The route version in force")),
       fenced_(m.gauge("marblehub_fleet_fenced", "1 while this balancer places nothing new by routes")),
       alone_(
@@ -61,92 +61,92 @@
           m.gauge("marblehub_fleet_wallet_held_back", "Units that count as spent until a journal says more")),
       broken_parts_(
           m.gauge("marblehub_fleet_broken_parts", "Parts turned off because an invariant was broken")),
-      shared_by_(
+      budget_members_(
           m.gauge("marblehub_fleet_budget_members", "Balancers that share the budgets of the module")) {
-  for (const char* why : kAborts)
+  for (const char* why : kAbortReasons)
     aborted_[why] = &m.counter("marblehub_fleet_activations_aborted_total",
                                "Route activations that were aborted", {{"why", why}});
-  check::on_violation = [this](const char* part, const std::string& what) {
-    if (broken_.insert(part).second)
-      log::error("fleet: {} is off, what must hold was broken: {}", part, what);
+  check::on_violation = [this](const char* component, const std::string& what) {
+    if (disabled_components_.insert(component).second)
+      log::error("fleet: {} is off, what must hold was broken: {}", component, what);
   };
   driver_.on_name_conflict([stop = std::move(stop)](const std::string&) { stop(); });
-  driver_.on_step([this] { stepped(); });
+  driver_.on_step([this] { after_step(); });
   log::info("fleet: {} of {} on {}", settings_.name, settings_.fleet, settings_.listen);
   if (settings_.voters.empty() && (!settings_.routes_file.empty() || !settings_.wallet_file.empty()))
     log::warning(
         "fleet: no voters are named, so nothing can be agreed on: routes and wallets stay as they are");
   // A list that nobody has told yet is none: a pool is not refused for being empty of it.
   if (!startup.known.workers.empty()) worker_list_updated(startup.known);
-  follow(std::move(files));
+  reload(std::move(files));
 }
 
-Service::~Service() { check::on_violation = nullptr; }
+FleetService::~FleetService() { check::on_violation = nullptr; }
 
-NodeOptions Service::parts(Files& files, const config::Startup& startup, Time now) {
-  NodeOptions parts;
-  parts.settings = settings_;
-  parts.calls.classes = classes_;
-  parts.incarnation = new_incarnation(settings_.data, now);
-  parts.seed = startup.seed ^ parts.incarnation;
-  parts.first_fleet = settings_.first_fleet;
+NodeOptions FleetService::node_options(FleetFiles& files, const config::Startup& startup, Time now) {
+  NodeOptions options;
+  options.settings = settings_;
+  options.calls.classes = classes_;
+  options.incarnation = new_incarnation(settings_.data, now);
+  options.seed = startup.seed ^ options.incarnation;
+  options.first_fleet = settings_.first_fleet;
   if (std::find(settings_.voters.begin(), settings_.voters.end(), settings_.name) != settings_.voters.end()) {
     disk_ = std::make_unique<LmdbDisk>(settings_.data);
-    parts.disk = disk_.get();
+    options.disk = disk_.get();
   }
   if (!settings_.wallet_file.empty()) {
-    parts.wallet = std::exchange(files.wallet, std::nullopt);
+    options.wallet = std::exchange(files.wallet, std::nullopt);
     if (!settings_.data.empty()) journal_ = std::make_unique<FileJournal>(settings_.data + "/spent.journal");
-    parts.journal = journal_.get();
+    options.journal = journal_.get();
   }
-  return parts;
+  return options;
 }
 
 // A file of another name is that of a start to come.
-Routes* Service::followed_routes(const Files& next) {
+Routes* FleetService::reloadable_routes(const FleetFiles& next) {
   return next.settings.routes_file == settings_.routes_file ? driver_.node().routes() : nullptr;
 }
 
-Wallets* Service::followed_wallets(const Files& next) {
+Wallets* FleetService::reloadable_wallets(const FleetFiles& next) {
   return next.wallet && next.settings.wallet_file == settings_.wallet_file ? driver_.node().wallets()
                                                                            : nullptr;
 }
 
-void Service::check(const Files& next) {
+void FleetService::check_reload(const FleetFiles& next) {
   const Record& record = driver_.node().record();
-  if (Routes* routes = followed_routes(next)) routes->check(next.routes, record);
-  if (followed_wallets(next)) check_deposits(*next.wallet, record.ledger(), settings_.wallet_file + ": ");
+  if (Routes* routes = reloadable_routes(next)) routes->check(next.routes, record);
+  if (reloadable_wallets(next)) check_deposits(*next.wallet, record.ledger(), settings_.wallet_file + ": ");
 }
 
-std::vector<std::string> Service::follow(Files next) {
+std::vector<std::string> FleetService::reload(FleetFiles next) {
   driver_.with_node([&](Node& node, Time now, Outbox& out) {
-    if (Routes* routes = followed_routes(next)) routes->offer(now, next.routes, node.record(), out);
-    if (Wallets* wallets = followed_wallets(next)) wallets->update_settings(std::move(*next.wallet));
+    if (Routes* routes = reloadable_routes(next)) routes->offer(now, next.routes, node.record(), out);
+    if (Wallets* wallets = reloadable_wallets(next)) wallets->update_settings(std::move(*next.wallet));
   });
-  return config::needs_restart(values_, next.values);
+  return config::needs_restart(start_values_, next.values);
 }
 
-void Service::settle() {
+void FleetService::return_wallets() {
   driver_.with_node([](Node& node, Time now, Outbox& out) {
     if (node.wallets()) node.wallets()->return_all(now, node.record(), out);
   });
 }
 
-void Service::leave() { driver_.leave(); }
+void FleetService::leave() { driver_.leave(); }
 
-core::CallGate::Decision Service::admit(std::uint64_t id, const core::Call& call) {
+core::CallGate::Decision FleetService::admit(std::uint64_t id, const core::Call& call) {
   Decision decision;
   Time now = driver_.now();
   Node& node = driver_.node();
-  Routes* routes = checked("routes") ? node.routes() : nullptr;
+  Routes* routes = is_enabled("routes") ? node.routes() : nullptr;
   PlacementMode mode = routes ? routes->placement_mode(now) : PlacementMode::no_table;
   if (mode == PlacementMode::fenced) {
     refused_fenced_.add();
     return {true, routes->retry_after(now), nullptr};
   }
   if (mode != PlacementMode::no_table)
-    decision.allowed_workers = workers_.usable(route_of(*routes, now, call), *routes);
-  Wallets* wallets = checked("wallet") ? node.wallets() : nullptr;
+    decision.allowed_workers = workers_.usable(find_route(*routes, now, call), *routes);
+  Wallets* wallets = is_enabled("wallet") ? node.wallets() : nullptr;
   Reservation reservation;
   ReserveResult reserve_result =
       wallets ? wallets->reserve(now, call.tenant, class_of(call), reservation) : ReserveResult::unmetered;
@@ -158,89 +158,92 @@
   return decision;
 }
 
-void Service::call_established(std::uint64_t id) {
+void FleetService::call_established(std::uint64_t id) {
   auto it = reserved_.find(id);
   if (it == reserved_.end()) return;
   driver_.node().wallets()->commit(it->second);
   reserved_.erase(it);
 }
 
-void Service::call_ended(std::uint64_t id) {
+void FleetService::call_ended(std::uint64_t id) {
   auto it = reserved_.find(id);
   if (it == reserved_.end()) return;
   driver_.node().wallets()->release(it->second);
   reserved_.erase(it);
 }
 
-void Service::worker_list_updated(const config::WorkerList& list) {
-  workers_.learn(list);
+void FleetService::worker_list_updated(const config::WorkerList& list) {
+  workers_.update_list(list);
   driver_.with_node([this](Node& node, Time, Outbox&) {
     if (node.routes()) node.routes()->update_workers(workers_.listed());
   });
 }
 
-void Service::set_down_workers(const std::vector<std::string>& workers) {
-  workers_.down(driver_.now(), workers);
+void FleetService::set_down_workers(const std::vector<std::string>& workers) {
+  workers_.update_down(driver_.now(), workers);
 }
 
 // Where it cannot be told what is in force, or nothing of the pool is there to go to, all stay.
-bool Service::placement_allowed(const core::Call& call, const std::string& worker) {
+bool FleetService::placement_allowed(const core::Call& call, const std::string& worker) {
   Time now = driver_.now();
-  Routes* routes = checked("routes") ? driver_.node().routes() : nullptr;
+  Routes* routes = is_enabled("routes") ? driver_.node().routes() : nullptr;
   if (!routes || routes->placement_mode(now) != PlacementMode::by_table) return true;
-  PooledWorkers::Set usable = workers_.usable(route_of(*routes, now, call), *routes);
-  return usable->count(worker) || !workers_.some_up(*usable);
+  PooledWorkers::WorkerSet usable = workers_.usable(find_route(*routes, now, call), *routes);
+  return usable->count(worker) || !workers_.any_up(*usable);
 }
 
-Route Service::route_of(Routes& routes, Time now, const core::Call& call) {
+Route FleetService::find_route(Routes& routes, Time now, const core::Call& call) {
   return routes.route(now, class_of(call), call.tenant, call.area);
 }
 
-int Service::balancer_count() {
+int FleetService::balancer_count() {
   Time now = driver_.now();
-  int members = budget_shared_by(driver_.node().view().budget_members(now), configured_, now - began_);
-  shared_by_.set(members);
+  int members =
+      budget_balancers(driver_.node().view().budget_members(now), configured_balancers_, now - started_at_);
+  budget_members_.set(members);
   return members;
 }
 
-bool Service::checked(const char* part) { return broken_.empty() || !broken_.count(part); }
+bool FleetService::is_enabled(const char* component) {
+  return disabled_components_.empty() || !disabled_components_.count(component);
+}
 
 // After every input of the node: what an operator watches, and the sets of a table that has come into force.
-void Service::stepped() {
+void FleetService::after_step() {
   Node& node = driver_.node();
   Time now = driver_.now();
   const Ledger& ledger = node.record().ledger();
   majority_.set(settings_.voters.empty() || node.record().has_majority(now));
   leads_.set(node.record().role() == Role::leader);
   no_vote_.set(disk_ && !node.record().may_vote());
-  broken_parts_.set(static_cast<double>(broken_.size()));
+  broken_parts_.set(static_cast<double>(disabled_components_.size()));
   if (Routes* routes = node.routes()) {
-    if (std::exchange(in_force_, ledger.routes.in_force) != ledger.routes.in_force) {
-      workers_.forget();
-      log::info("fleet: route version {} is in force", in_force_);
+    if (std::exchange(logged_version_, ledger.routes.in_force) != ledger.routes.in_force) {
+      workers_.reset_pools();
+      log::info("fleet: route version {} is in force", logged_version_);
     }
     PlacementMode mode = routes->placement_mode(now);
     if (std::exchange(logged_mode_, mode) != mode && mode == PlacementMode::fenced)
       log::warning("fleet: fenced, nothing new is placed: {}", routes->why_fenced());
-    if (const std::string& why = routes->last_refusal(); why != refusal_said_) {
-      refusal_said_ = why;
-      if (!is_history(why, in_force_)) {
-        aborted_.at(why_aborted(why))->add();
+    if (const std::string& why = routes->last_refusal(); why != logged_refusal_) {
+      logged_refusal_ = why;
+      if (!is_superseded(why, logged_version_)) {
+        aborted_.at(abort_reason(why))->add();
         log::warning("fleet: an activation was aborted: {}", why);
       }
     }
-    version_.set(static_cast<double>(in_force_));
+    version_.set(static_cast<double>(logged_version_));
     fenced_.set(mode == PlacementMode::fenced ? 1 : 0);
     alone_.set(mode == PlacementMode::alone ? 1 : 0);
   }
-  if (Wallets* wallets = node.wallets()) tell_wallets(ledger, *wallets);
+  if (Wallets* wallets = node.wallets()) report_wallets(ledger, *wallets);
 }
 
-void Service::tell_wallets(const Ledger& ledger, const Wallets& wallets) {
+void FleetService::report_wallets(const Ledger& ledger, const Wallets& wallets) {
   double held_back = 0;
   for (const auto& [tenant, wallet] : ledger.wallets) {
     for (const auto& [slice, units] : wallet.held_back) held_back += static_cast<double>(units);
-    if (std::exchange(paid_[tenant], wallet.paid) != wallet.paid)
+    if (std::exchange(logged_deposits_[tenant], wallet.paid) != wallet.paid)
       log::info("fleet: wallet {} has {} units paid in", tenant, wallet.paid);
     if (wallets.paused(tenant) == paused_tenants_.count(tenant)) continue;
     if (paused_tenants_.erase(tenant) != 0)
@@ -250,8 +253,8 @@
   }
   paused_.set(static_cast<double>(paused_tenants_.size()));
   held_back_.set(held_back);
-  if (const std::string& why = wallets.deposit_error(); why != deposits_refused_) {
-    deposits_refused_ = why;
+  if (const std::string& why = wallets.deposit_error(); why != logged_deposit_error_) {
+    logged_deposit_error_ = why;
     if (!why.empty()) log::warning("fleet: deposits of the file are not offered: {}", why);
   }
 }
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -19,20 +19,20 @@
 
 namespace marblehub::fleet {
 
-class Service final : public core::CallGate {
+class FleetService final : public core::CallGate {
  public:
   // Throws std::runtime_error or config::DecodeError with file and key; `files` are enabled. `stop` is
   // called where another process of this name was there before.
-  Service(net::Loop& loop, Files files, const config::Startup& startup, metrics::Registry& metrics,
-          std::function<void()> stop);
-  ~Service() override;
+  FleetService(net::Loop& loop, FleetFiles files, const config::Startup& startup, metrics::Registry& metrics,
+               std::function<void()> stop);
+  ~FleetService() override;
 
   // SIGHUP, in two steps: what cannot be followed, by what is agreed, is thrown before anything is.
-  void check(const Files& next);
+  void check_reload(const FleetFiles& next);
   // The keys that take a restart to follow come back. Not before `check`.
-  std::vector<std::string> follow(Files next);
-  void settle();  // at SIGTERM: what is unspent goes back as the last calls end
-  void leave();   // when all clients have moved
+  std::vector<std::string> reload(FleetFiles next);
+  void return_wallets();  // at SIGTERM: what is unspent goes back as the last calls end
+  void leave();           // when all clients have moved
 
   // core::CallGate
   Decision admit(std::uint64_t id, const core::Call& call) override;
@@ -48,32 +48,32 @@
   const std::string& class_of(const core::Call& call) const {
     return classes_[static_cast<std::size_t>(call.request_class)];
   }
-  Route route_of(Routes& routes, Time now, const core::Call& call);
-  NodeOptions parts(Files& files, const config::Startup& startup, Time now);
-  Routes* followed_routes(const Files& next);
-  Wallets* followed_wallets(const Files& next);
-  void stepped();
-  void tell_wallets(const Ledger& ledger, const Wallets& wallets);
-  bool checked(const char* part);  // false: an invariant of that part was broken, and it is off
+  Route find_route(Routes& routes, Time now, const core::Call& call);
+  NodeOptions node_options(FleetFiles& files, const config::Startup& startup, Time now);
+  Routes* reloadable_routes(const FleetFiles& next);
+  Wallets* reloadable_wallets(const FleetFiles& next);
+  void after_step();
+  void report_wallets(const Ledger& ledger, const Wallets& wallets);
+  bool is_enabled(const char* component);  // false: an invariant of that part was broken, and it is off
 
   const Settings settings_;
-  const config::Values values_;  // of fleet.json at the start
-  const int configured_;         // balancers, by the starting file
+  const config::Values start_values_;  // of fleet.json at the start
+  const int configured_balancers_;     // balancers, by the starting file
   std::vector<std::string> classes_;
   std::unique_ptr<LmdbDisk> disk_;        // of a voter
   std::unique_ptr<FileJournal> journal_;  // where there is a wallet and a folder
   NodeDriver driver_;
-  const Time began_;
+  const Time started_at_;
   PooledWorkers workers_;
   std::unordered_map<std::uint64_t, Reservation> reserved_;  // by call; one that stands has none any more
-  std::string refusal_said_, deposits_refused_;
+  std::string logged_refusal_, logged_deposit_error_;
   std::set<std::string> paused_tenants_;
-  std::map<std::string, std::int64_t> paid_;  // by tenant, as it was told in the log
-  std::uint64_t in_force_ = 0;
+  std::map<std::string, std::int64_t> logged_deposits_;  // by tenant, as it was told in the log
+  std::uint64_t logged_version_ = 0;
   PlacementMode logged_mode_ = PlacementMode::no_table;
-  std::set<std::string> broken_;
+  std::set<std::string> disabled_components_;
   metrics::Metric &version_, &fenced_, &alone_, &paused_, &refused_fenced_, &refused_paused_, &majority_,
-      &leads_, &no_vote_, &held_back_, &broken_parts_, &shared_by_;
+      &leads_, &no_vote_, &held_back_, &broken_parts_, &budget_members_;
   std::map<std::string_view, metrics::Metric*> aborted_;  // by why
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -180,19 +180,19 @@
     return std::make_unique<rebalance::Driver>(*settings, dispatcher_, startup_, rebalance_counters_);
   }
 
-  static std::optional<fleet::Files> fleet_files(const config::Startup& startup) {
+  static std::optional<fleet::FleetFiles> fleet_files(const config::Startup& startup) {
     auto options = optional_file(startup.fleet_file);
     if (!options) return std::nullopt;
-    fleet::Files files = fleet::files_in(*options, startup);
+    fleet::FleetFiles files = fleet::load_fleet_files(*options, startup);
     return files.settings.enabled ? std::optional(std::move(files)) : std::nullopt;
   }
 
   // What balancers keep together; none where its file is absent or it is off.
-  std::unique_ptr<fleet::Service> fleet_service() {
+  std::unique_ptr<fleet::FleetService> fleet_service() {
     auto files = fleet_files(startup_);
     if (!files) return nullptr;
-    auto made = std::make_unique<fleet::Service>(loop_, std::move(*files), startup_, metrics_,
-                                                 [this] { loop_.stop(); });
+    auto made = std::make_unique<fleet::FleetService>(loop_, std::move(*files), startup_, metrics_,
+                                                      [this] { loop_.stop(); });
     dispatcher_.set_gate(*made);
     return made;
   }
@@ -221,7 +221,7 @@
       auto rebalance = rebalance_settings(loaded.startup);
       auto fleet = fleet_files(loaded.startup);
       log::Level level = log_level(loaded.startup);
-      if (fleet_ && fleet) fleet_->check(*fleet);
+      if (fleet_ && fleet) fleet_->check_reload(*fleet);
       if (quic_ && quic) {
         try {
           for (const std::string& key : quic_->reload(std::move(*quic)))
@@ -239,7 +239,7 @@
       for (const std::string& key : config::needs_restart(values_, loaded.values))
         log::warning("{} has changed, which takes a restart to follow", key);
       if (fleet_ && fleet) {
-        for (const std::string& key : fleet_->follow(std::move(*fleet)))
+        for (const std::string& key : fleet_->reload(std::move(*fleet)))
           log::warning("fleet: {} has changed, which takes a restart to follow", key);
       } else if (fleet || fleet_) {
         log::warning("fleet: enabled has changed, which takes a restart to follow");
@@ -260,7 +260,7 @@
   void retire() {
     if (retiring_since_ > 0) return;
     log::info("{} retires with {} connections", startup_.name, dispatcher_.established_count());
-    if (fleet_) fleet_->settle();
+    if (fleet_) fleet_->return_wallets();
     retiring_since_ = loop_.now();
     retire_tick_.start(kTick);
   }
@@ -314,7 +314,7 @@
   rebalance::Counters rebalance_counters_;
   std::unique_ptr<rebalance::Driver> rebalance_;  // none unless its file enables it
   net::TimerWatch plan_tick_, retire_tick_;
-  std::unique_ptr<fleet::Service> fleet_;  // none unless its file enables it
+  std::unique_ptr<fleet::FleetService> fleet_;  // none unless its file enables it
   net::SignalWatch term_, interrupt_, hangup_, print_, pause_;
   metrics::Metric &reloads_, &reloads_refused_;
   Time retiring_since_ = 0, last_seen_empty_ = 0;
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kFound = 20'000'000;  // by then all that are lost are given up
 
-using fleet::budget_shared_by;
+using fleet::budget_balancers;
 using fleet::kBudgetHold;
 using fleet::kSecond;
 using fleet::test::Nodes;
@@ -23,7 +23,7 @@
   explicit Fleet(int configured) : Nodes(9, 5), configured(configured), began(now) {}
   int shared_by(const One& one) const {
     Time at = clock(one);
-    return budget_shared_by(one.node->view().budget_members(at), configured, at - began);
+    return budget_balancers(one.node->view().budget_members(at), configured, at - began);
   }
   double spent() const {
     double all = 0;
@@ -88,10 +88,10 @@
   CHECK(f.most_spent(kBudgetHold - kSecond) <= 1 + 1e-9);
   f.run(kBudgetHold + kFound, 20'000);
   CHECK(f.shared_by(f.members.at("m0")) == 4);
-  CHECK(budget_shared_by(1, 9, -5 * kSecond) == 9);  // a clock that was put back
-  CHECK(budget_shared_by(1, 0, 0) == 1);
-  CHECK(budget_shared_by(9, 1, 0) == 9);  // growth counts at once, whatever was configured
-  CHECK(budget_shared_by(4.2, 9, 2 * kBudgetHold) == 5);
+  CHECK(budget_balancers(1, 9, -5 * kSecond) == 9);  // a clock that was put back
+  CHECK(budget_balancers(1, 0, 0) == 1);
+  CHECK(budget_balancers(9, 1, 0) == 9);  // growth counts at once, whatever was configured
+  CHECK(budget_balancers(4.2, 9, 2 * kBudgetHold) == 5);
 }
 
 TEST_CASE("a module that is told of more balancers is not in debt for it, nor has it a burst at fewer") {
--- a/tests/fleet/service/pools_test.cpp
+++ b/tests/fleet/service/pools_test.cpp
@@ -9,7 +9,7 @@
 namespace marblehub::test {
 namespace {
 
-using fleet::kSteady;
+using fleet::kRecoveryTime;
 using fleet::PooledWorkers;
 using Names = std::set<std::string>;
 
@@ -32,7 +32,7 @@
     config::WorkerList whole;
     whole.snapshot = true;
     for (const std::string& name : names) whole.workers.push_back({Bench::entry(name, Health::serving), ""});
-    workers.learn(whole);
+    workers.update_list(whole);
   }
   fleet::Routes& routes() { return *nodes.members.at("m0").node->routes(); }
   Names usable(const std::string& service_class = "ride") {
@@ -40,7 +40,8 @@
                            routes());
   }
   void down(const Names& names, Time span = kLook) {
-    for (const Time end = at + span; at < end; at += kLook) workers.down(at, {names.begin(), names.end()});
+    for (const Time end = at + span; at < end; at += kLook)
+      workers.update_down(at, {names.begin(), names.end()});
   }
 
   fleet::test::Nodes nodes;
@@ -64,7 +65,7 @@
   CHECK(p.workers.changes() == before + 1);
   p.down({"n-1", "n-2"}, 60'000'000);
   CHECK(p.usable() == kSouth);
-  p.down({"n-1"}, kSteady);
+  p.down({"n-1"}, kRecoveryTime);
   CHECK(p.usable() == kSouth);
   p.down({"n-1"});
   CHECK(p.usable() == kNorth);
@@ -77,7 +78,7 @@
   p.down(kNorth);
   const std::uint64_t before = p.workers.changes();
   for (int i = 0; i < 100; ++i) {
-    p.down({"n-2"}, kSteady - kLook);  // up for a little less
+    p.down({"n-2"}, kRecoveryTime - kLook);  // up for a little less
     REQUIRE(p.usable() == kSouth);
     p.down(kNorth);
   }
@@ -102,7 +103,7 @@
   p.down(kNorth);
   p.list({"n-1", "n-2", "s-1", "s-2"});
   CHECK(p.usable() == kSouth);
-  p.down({"n-1"}, kSteady - kLook);
+  p.down({"n-1"}, kRecoveryTime - kLook);
   p.list({"n-1", "n-2", "s-1"});
   CHECK(p.usable() == kSouth);
   const std::uint64_t before = p.workers.changes();
--- a/tools/application.cpp
+++ b/tools/application.cpp
@@ -96,7 +96,7 @@
   const std::string& name = startup.fleet_file;
   try {
     if (std::filesystem::exists(name))
-      fleet::files_in(load_options(name), startup);
+      fleet::load_fleet_files(load_options(name), startup);
     else
       findings.warnings.push_back(fmt::format("{}: not found; its features stay off", name));
   } catch (const DecodeError& error) {
