--- a/bench/fleet_record.cpp
+++ b/bench/fleet_record.cpp
@@ -9,7 +9,7 @@
 
 #include "fleet/record/checked_flatbuffer.h"
 #include "fleet/wire/envelope.h"
-#include "nodes.h"
+#include "node_network.h"
 #include "record_generated.h"
 
 namespace marblehub::fleet::test {
@@ -28,8 +28,8 @@
 
 class Meter {
  public:
-  explicit Meter(Nodes& nodes) : nodes_(nodes), sealer_("fleet", {std::string(32, 'k')}) {
-    nodes.seen_by_wire = [this](const Nodes::Event& e) { seen(e); };
+  explicit Meter(NodeNetwork& nodes) : nodes_(nodes), sealer_("fleet", {std::string(32, 'k')}) {
+    nodes.on_send = [this](const NodeNetwork::Event& e) { seen(e); };
   }
   void begin() {
     counts_.clear();
@@ -61,7 +61,7 @@
   }
 
  private:
-  void seen(const Nodes::Event& e) {
+  void seen(const NodeNetwork::Event& e) {
     std::size_t kind = 0;
     if (e.what.component == Component::record) {
       fb::MessageT message;
@@ -79,7 +79,7 @@
     members_[e.from] += static_cast<double>(octets);
   }
 
-  Nodes& nodes_;
+  NodeNetwork& nodes_;
   EnvelopeSealer sealer_;
   std::map<std::pair<std::string, std::size_t>, Count> counts_;
   std::map<std::string, double> members_;
@@ -95,7 +95,7 @@
   using namespace marblehub::fleet::test;
   auto word = [&](int i, long absent) { return i < argc ? std::atol(argv[i]) : absent; };
   const Time lease = word(3, 600) * kMillisecond;
-  Nodes nodes(static_cast<int>(word(1, 300)), 1, [&](Settings& s) { s.lease = lease; });
+  NodeNetwork nodes(static_cast<int>(word(1, 300)), 1, [&](Settings& s) { s.lease = lease; });
   Meter meter(nodes);
   nodes.run(20 * kSecond);
   nodes.loss = static_cast<double>(word(4, 0)) / 100;
--- a/bench/fleet_routes.cpp
+++ b/bench/fleet_routes.cpp
@@ -9,9 +9,9 @@
 #include "fleet/routes/table.h"
 
 #ifdef FLEET_ROUTES_NODES
-#include "nodes.h"
+#include "node_network.h"
 #else
-#include "world.h"
+#include "routes_network.h"
 #endif
 
 namespace marblehub::fleet::test {
@@ -24,17 +24,17 @@
 }
 
 #ifdef FLEET_ROUTES_NODES
-using Fleet = Nodes;
+using Fleet = NodeNetwork;
 Time now_of(const Fleet& fleet) { return fleet.now; }
 std::uint64_t messages_of(const Fleet& fleet) { return fleet.messages; }
-std::uint64_t octets_of(const Fleet& fleet) { return fleet.octets; }
+std::uint64_t bytes_of(const Fleet& fleet) { return fleet.bytes; }
 std::uint64_t record_of(const Fleet& fleet) { return fleet.record_messages; }
 constexpr const char* kOver = "whole nodes";
 #else
-using Fleet = World;
+using Fleet = RoutesNetwork;
 Time now_of(const Fleet& fleet) { return fleet.record.now; }
 std::uint64_t messages_of(const Fleet& fleet) { return fleet.record.messages; }
-std::uint64_t octets_of(const Fleet&) { return 0; }
+std::uint64_t bytes_of(const Fleet&) { return 0; }
 std::uint64_t record_of(const Fleet& fleet) { return fleet.record.messages; }
 constexpr const char* kOver = "the tests' record";
 #endif
@@ -43,7 +43,7 @@
 
 void measure(int members, int seeds, Time settle) {
   std::vector<Time> took, spread;
-  double messages = 0, octets = 0, idle = 0, record = 0;
+  double messages = 0, bytes = 0, idle = 0, record = 0;
   int missed = 0;
   const auto began = std::chrono::steady_clock::now();
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -52,12 +52,12 @@
     const std::uint64_t before = messages_of(fleet);
     fleet.run(2 * kSecond, 2 * kMillisecond);
     idle += static_cast<double>(messages_of(fleet) - before);
-    const std::uint64_t begun = messages_of(fleet), octets_begun = octets_of(fleet), rec = record_of(fleet);
+    const std::uint64_t begun = messages_of(fleet), bytes_before = bytes_of(fleet), rec = record_of(fleet);
     const Time offered = now_of(fleet);
     fleet.offer("m" + std::to_string(members / 2), table_text(1));
     fleet.run(2 * kSecond, kMillisecond);
     messages += static_cast<double>(messages_of(fleet) - begun);
-    octets += static_cast<double>(octets_of(fleet) - octets_begun);
+    bytes += static_cast<double>(bytes_of(fleet) - bytes_before);
     record += static_cast<double>(record_of(fleet) - rec);
     const auto& first = fleet.first_at[1];
     if (first.size() != static_cast<std::size_t>(members)) {
@@ -82,7 +82,7 @@
       "second; "
       "%.1f s of one core in all\n",
       members, seeds, kOver, part(took, 0.5), part(took, 0.99), part(took, 1), part(spread, 0.5),
-      part(spread, 1), missed, messages / seeds, record / seeds, idle / seeds, octets / seeds / 2 / members,
+      part(spread, 1), missed, messages / seeds, record / seeds, idle / seeds, bytes / seeds / 2 / members,
       seconds);
 }
 
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -2,15 +2,15 @@
 // module's sweep decides, and the client's end is still unread.
 #include <catch2/catch.hpp>
 
-#include "fleet/service/dispatched.h"
+#include "fleet/service/dispatcher_fixture.h"
 
 namespace marblehub::test {
 namespace {
 
 constexpr Time kMillisecond = 1000;
 
-struct Leaving : Dispatched {
-  using Dispatched::Dispatched;
+struct Leaving : DispatcherFixture {
+  using DispatcherFixture::DispatcherFixture;
   bool is_connected() const override { return there; }
   core::Exchange& ask() {
     core::Call call;
@@ -23,7 +23,7 @@
     for (int i = 0; i < startup.settings.max_attempts; ++i)
       exchange.worker_ended(Outcome::error, core::CloseKind::orderly);
     run(5000 * kMillisecond);
-    sent.clear();
+    last_worker.clear();
     refused = 0;
   }
 
@@ -35,15 +35,15 @@
 TEST_CASE("a call whose client left while a report was awaited is not sent on") {
   Leaving d(dear_probes(), 1);
   core::Exchange& exchange = d.ask();
-  REQUIRE(d.sent.empty());  // it waits for the report of the one worker
+  REQUIRE(d.last_worker.empty());  // it waits for the report of the one worker
   d.there = false;
   d.run(300 * kMillisecond);
-  CHECK(d.sent.empty());
+  CHECK(d.last_worker.empty());
   exchange.client_left(core::CloseKind::orderly);
   d.there = true;
   d.ask();
   d.run(300 * kMillisecond);
-  CHECK(d.sent.size() == 1);
+  CHECK(d.last_worker.size() == 1);
 }
 
 TEST_CASE("an attempt that was not begun counts as over for the module once its client's end is read") {
@@ -51,10 +51,10 @@
   d.cut_limit();
   d.there = false;
   for (int i = 0; i < 4; ++i) d.ask().client_left(core::CloseKind::orderly);
-  CHECK(d.sent.empty());
+  CHECK(d.last_worker.empty());
   d.there = true;
   d.ask();
-  CHECK(d.sent.size() == 1);
+  CHECK(d.last_worker.size() == 1);
   CHECK(d.refused == 0);
 }
 
@@ -64,12 +64,12 @@
   d.there = false;
   for (int i = 0; i < 4; ++i) d.ask();
   d.run(3000 * kMillisecond);
-  CHECK(d.sent.empty());
+  CHECK(d.last_worker.empty());
   CHECK(d.refused == 4);  // one answer each, at the deadline
   CHECK(d.dispatcher->unanswered() == 0);
   d.there = true;
   d.ask();
-  CHECK(d.sent.size() == 1);
+  CHECK(d.last_worker.size() == 1);
 }
 
 }  // namespace marblehub::test
--- a/tests/drain_grace_test.cpp
+++ b/tests/drain_grace_test.cpp
@@ -2,7 +2,7 @@
 // say.
 #include <catch2/catch.hpp>
 
-#include "fleet/service/dispatched.h"
+#include "fleet/service/dispatcher_fixture.h"
 #include "support/program.h"
 
 namespace marblehub::test {
@@ -34,10 +34,10 @@
 TEST_CASE("nothing begins at a draining worker after the grace that the settings give") {
   for (Time grace : {0, 50, 120, 250, 500}) {
     INFO("grace of " << grace << " ms");
-    Dispatched d(settings_with_grace(grace * kMillisecond), 1);
+    DispatcherFixture d(settings_with_grace(grace * kMillisecond), 1);
     core::Exchange& exchange = d.dispatcher->accept_call(call(), d, d);
     d.run(100 * kMillisecond);
-    REQUIRE(d.sent.size() == 1);
+    REQUIRE(d.last_worker.size() == 1);
     REQUIRE(exchange.may_begin());
     Time told = d.at;
     d.dispatcher->list_received(draining(test::workers(1).front()));
--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -2,37 +2,37 @@
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
-#include "world.h"
+#include "routes_network.h"
 
 namespace marblehub::fleet::test {
 namespace {
 
 // Version 1 in force everywhere, and version 2 offered at m5.
-struct Begun : World {
-  explicit Begun(std::uint64_t seed = 1, std::function<void(Settings&)> change = {})
-      : World(9, seed, change) {
+struct ActivatedNetwork : RoutesNetwork {
+  explicit ActivatedNetwork(std::uint64_t seed = 1, std::function<void(Settings&)> change = {})
+      : RoutesNetwork(9, seed, change) {
     run(kSecond);
     offer("m4", table(1));
     run(2 * kSecond);
     REQUIRE(all_place_by(1));
   }
-  const RouteState& agreed_routes() const { return record.ledger.routes; }
-  void until(const std::function<bool()>& reached, Time most = 5 * kSecond) {
-    for (Time end = record.now + most; !reached() && record.now < end;) run(5 * kMillisecond);
+  const RouteState& recorded_routes() const { return record.ledger.routes; }
+  void run_until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
+    for (Time end = record.now + max_wait; !reached() && record.now < end;) run(5 * kMillisecond);
     REQUIRE(reached());
   }
-  void verdict() const { CHECK(overlap() <= record.settings.clock_bound); }
+  void check_overlap() const { CHECK(overlap() <= record.settings.clock_bound); }
 };
 
 }  // namespace
 
 TEST_CASE("an undisturbed activation switches all within a second, at one moment") {
-  Begun w;
+  ActivatedNetwork w;
   const Time offered = w.record.now;
   w.offer("m5", table(2, "south"));
   w.run(2 * kSecond, kMillisecond);
   CHECK(w.all_place_by(2));
-  w.verdict();
+  w.check_overlap();
   Time newest = 0, oldest = offered + kSecond * 9;
   for (auto& [name, at] : w.first_at[2]) newest = std::max(newest, at), oldest = std::min(oldest, at);
   CHECK(newest - offered < kSecond);
@@ -41,52 +41,53 @@
 }
 
 TEST_CASE("a proposer killed between the phases leaves an activation that is aborted at the time-out") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.until([&] { return w.agreed_routes().staged == 2; });
+  w.run_until([&] { return w.recorded_routes().staged == 2; });
   w.kill("m5");
   w.run(5 * kSecond);
   CHECK(w.all_place_by(1));
-  CHECK(w.agreed_routes().staged == 0);
+  CHECK(w.recorded_routes().staged == 0);
   CHECK(w.members.at("m1").routes->last_refusal().find("version 2 aborted") == 0);
   w.offer("m6", table(2));  // the same again, at another
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
-  w.verdict();
+  w.check_overlap();
 }
 
 TEST_CASE("a proposer killed at the recorded moment changes nothing") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.until([&] { return w.agreed_routes().next == 2; });
-  w.until([&] { return w.record.now >= w.agreed_routes().activation_time - 5 * kMillisecond; });
+  w.run_until([&] { return w.recorded_routes().next == 2; });
+  w.run_until([&] { return w.record.now >= w.recorded_routes().activation_time - 5 * kMillisecond; });
   w.kill("m5");
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
-  w.verdict();
+  w.check_overlap();
 }
 
 TEST_CASE("a leader killed in either phase, or at the moment, leaves all by one version") {
   for (int phase = 0; phase < 3; ++phase)
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       CAPTURE(phase, seed);
-      Begun w(seed);
+      ActivatedNetwork w(seed);
       w.offer("m5", table(2));
-      w.until([&] { return phase == 0 ? w.agreed_routes().staged == 2 : w.agreed_routes().next == 2; });
+      w.run_until(
+          [&] { return phase == 0 ? w.recorded_routes().staged == 2 : w.recorded_routes().next == 2; });
       if (phase == 2)
-        w.until([&] { return w.record.now >= w.agreed_routes().activation_time - 5 * kMillisecond; });
+        w.run_until([&] { return w.record.now >= w.recorded_routes().activation_time - 5 * kMillisecond; });
       w.kill(w.record.leader);
       w.run(8 * kSecond);
-      CHECK(w.all_place_by(w.agreed_routes().in_force));
-      if (phase > 0) CHECK(w.agreed_routes().in_force == 2);
-      w.verdict();
+      CHECK(w.all_place_by(w.recorded_routes().in_force));
+      if (phase > 0) CHECK(w.recorded_routes().in_force == 2);
+      w.check_overlap();
     }
 }
 
 TEST_CASE("a member asleep across the moment places nothing at its first call, then by the new version") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.until([&] { return w.agreed_routes().staged == 2 && !w.agreed_routes().waited_for.count("m7"); });
+  w.run_until([&] { return w.recorded_routes().staged == 2 && !w.recorded_routes().waited_for.count("m7"); });
   w.sleep("m7", 2500 * kMillisecond);
   w.run(2490 * kMillisecond);
   CHECK(w.last.count(2) == 1);
@@ -98,13 +99,14 @@
   w.run(500 * kMillisecond);
   CHECK(slept.placed > placed);
   CHECK(w.all_place_by(2));
-  w.verdict();
+  w.check_overlap();
 }
 
 TEST_CASE("a clock 300 ms off within a bound of 400 goes along; one beyond its bound fences itself") {
   for (Time sign : {1, -1}) {
     CAPTURE(sign);
-    World near(9, 3, [](Settings& s) { s.clock_bound = 400 * kMillisecond, s.lease = 1500 * kMillisecond; });
+    RoutesNetwork near(
+        9, 3, [](Settings& s) { s.clock_bound = 400 * kMillisecond, s.lease = 1500 * kMillisecond; });
     near.members.at("m7").offset = sign * 300 * kMillisecond;
     near.run(kSecond);
     near.offer("m5", table(1));
@@ -113,7 +115,7 @@
     CHECK(near.overlap() <= 400 * kMillisecond);
     CHECK(near.overlap() >= 200 * kMillisecond);  // the clock is off, and it shows
 
-    World far(9, 3);
+    RoutesNetwork far(9, 3);
     far.members.at("m7").offset = sign * 300 * kMillisecond;
     far.run(kSecond);
     far.offer("m5", table(1));
@@ -132,34 +134,34 @@
 TEST_CASE("two proposals at once: the newer wins or both are told why") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
-    Begun w(seed);
+    ActivatedNetwork w(seed);
     w.offer("m5", table(3));
     w.offer("m6", table(2));
     w.run(4 * kSecond);
     CHECK(w.all_place_by(3));
-    w.verdict();
+    w.check_overlap();
   }
 }
 
 TEST_CASE("a newer version during an activation takes its place") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.until([&] { return w.agreed_routes().staged == 2; });
+  w.run_until([&] { return w.recorded_routes().staged == 2; });
   w.offer("m6", table(3));
   w.run(3 * kSecond);
   CHECK(w.all_place_by(3));
-  Begun after;  // or follows it, once its moment is over
+  ActivatedNetwork after;  // or follows it, once its moment is over
   after.offer("m5", table(2));
-  after.until([&] { return after.agreed_routes().next == 2; });
+  after.run_until([&] { return after.recorded_routes().next == 2; });
   after.offer("m6", table(3));
   after.run(3 * kSecond);
   CHECK(after.all_place_by(3));
   CHECK(after.last.count(2) == 1);
-  after.verdict();
+  after.check_overlap();
 }
 
 TEST_CASE("a refusal at one member ends the activation, with member, place and key") {
-  Begun w;
+  ActivatedNetwork w;
   w.members.at("m7").routes->update_workers({{"w-1", "n", "t", "0"}});
   w.offer("m5", table(2));
   w.run(2 * kSecond);
@@ -171,34 +173,34 @@
 }
 
 TEST_CASE("a member that dies before its yes is given up once it is gone from the view") {
-  Begun w;
+  ActivatedNetwork w;
   w.kill("m7");
   w.offer("m5", table(2));  // the view still has it
   w.run(500 * kMillisecond);
-  CHECK(w.agreed_routes().waited_for == std::set<std::string>{"m7"});
+  CHECK(w.recorded_routes().waited_for == std::set<std::string>{"m7"});
   w.run(2500 * kMillisecond);
   CHECK(w.all_place_by(2));
-  CHECK(w.agreed_routes().last_refusal.empty());
-  w.verdict();
+  CHECK(w.recorded_routes().last_refusal.empty());
+  w.check_overlap();
 }
 
 TEST_CASE("a version aborted and proposed again in one breath is answered again") {
-  Begun w;
+  ActivatedNetwork w;
   auto say = [&, number = std::uint64_t{0}](Body body) mutable {
     w.record.append({{"by-hand", 1, ++number}, std::move(body)});
   };
   say(ProposeRoutes{2, table(2), {"m7", "ghost"}, w.record.now});
-  w.until([&] { return w.agreed_routes().waited_for == std::set<std::string>{"ghost"}; });
-  w.record.told.erase("m7");
+  w.run_until([&] { return w.recorded_routes().waited_for == std::set<std::string>{"ghost"}; });
+  w.record.followers.erase("m7");
   say(AbortRoutes{2, "by hand"});
   say(ProposeRoutes{2, table(2), {"m7"}, w.record.now});
-  w.until([&] { return w.agreed_routes().waited_for == std::set<std::string>{"m7"}; });
-  w.record.told.insert("m7");
-  w.until([&] { return w.agreed_routes().staged == 2 && w.agreed_routes().waited_for.empty(); });
+  w.run_until([&] { return w.recorded_routes().waited_for == std::set<std::string>{"m7"}; });
+  w.record.followers.insert("m7");
+  w.run_until([&] { return w.recorded_routes().staged == 2 && w.recorded_routes().waited_for.empty(); });
 }
 
 TEST_CASE("words taken before are no news, and are not refused for having grown old") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
   w.run(2 * kSecond);
   REQUIRE(w.all_place_by(2));
@@ -209,7 +211,7 @@
 }
 
 TEST_CASE("an older version, or the same with other words, is refused where it is offered") {
-  Begun w;
+  ActivatedNetwork w;
   CHECK_NOTHROW(w.offer("m5", table(1)));  // no news
   CHECK_THROWS_WITH(w.offer("m5", table(1, "south")), Catch::Contains("routes.json: setting version"));
   w.offer("m5", table(4));
@@ -224,7 +226,7 @@
 }
 
 TEST_CASE("a table on record that cannot be read fences, and is not read again at each step") {
-  Begun w;
+  ActivatedNetwork w;
   w.record.append({{"by-hand", 1, 1}, ProposeRoutes{2, "not a table", {"ghost"}, w.record.now}});
   w.record.append({{"by-hand", 1, 2}, AnswerRoutes{2, "ghost", "", true}});
   w.record.append({{"by-hand", 1, 3}, ActivateRoutes{2, 0}});
@@ -237,42 +239,42 @@
 }
 
 TEST_CASE("a majority of the voters lost fences all, and an activation begun before it is aborted") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.until([&] { return w.agreed_routes().staged == 2; });
+  w.run_until([&] { return w.recorded_routes().staged == 2; });
   w.kill("m1");
   w.kill("m2");
   w.run(4 * kSecond);
   for (auto& [name, b] : w.members)
     if (b.up) CHECK(b.mode == PlacementMode::fenced);
-  CHECK(w.agreed_routes().next == 0);
+  CHECK(w.recorded_routes().next == 0);
   w.restart("m1");
   w.restart("m2");
   w.run(6 * kSecond);
-  CHECK(w.agreed_routes().staged == 0);
-  CHECK(w.all_place_by(w.agreed_routes().in_force));
-  w.verdict();
+  CHECK(w.recorded_routes().staged == 0);
+  CHECK(w.all_place_by(w.recorded_routes().in_force));
+  w.check_overlap();
 }
 
 TEST_CASE("a proposal that is recorded after its time is ended by its proposer at once") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
   w.members.at("m5").side = 1;  // its words wait at it
   w.run(w.record.settings.stage + kSecond);
-  CHECK(w.agreed_routes().max_proposed == 1);
+  CHECK(w.recorded_routes().max_proposed == 1);
   w.members.at("m5").side = 0;
-  w.until([&] { return w.agreed_routes().max_proposed == 2; });
-  w.until([&] { return w.agreed_routes().staged == 0; }, kSecond);
-  CHECK(w.agreed_routes().last_refusal.find("recorded after its time only") != std::string::npos);
+  w.run_until([&] { return w.recorded_routes().max_proposed == 2; });
+  w.run_until([&] { return w.recorded_routes().staged == 0; }, kSecond);
+  CHECK(w.recorded_routes().last_refusal.find("recorded after its time only") != std::string::npos);
   w.run(100 * kMillisecond);  // all have heard of it
   w.offer("m6", table(2));
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
-  w.verdict();
+  w.check_overlap();
 }
 
 TEST_CASE("in a partition the side with the voters goes on, the other is fenced until it heals") {
-  Begun w;
+  ActivatedNetwork w;
   for (const char* m : {"m6", "m7", "m8"}) w.members.at(m).side = 1;
   w.run(2 * kSecond);
   w.offer("m5", table(2));
@@ -286,11 +288,11 @@
   for (auto& [name, b] : w.members) b.side = 0;
   w.run(kSecond);
   CHECK(w.all_place_by(2));
-  w.verdict();
+  w.check_overlap();
 }
 
 TEST_CASE("when_alone keep serves by the old table, says so and counts") {
-  Begun w(1, [](Settings& s) { s.when_alone = WhenAlone::keep; });
+  ActivatedNetwork w(1, [](Settings& s) { s.when_alone = WhenAlone::keep; });
   auto& cut = w.members.at("m7");
   cut.side = 1;
   w.run(2 * kSecond);
@@ -306,8 +308,9 @@
   w.run(kSecond);
   CHECK(w.all_place_by(2));
   // A grant may name a version whose table has not come yet: the newest that is held is kept to.
-  agreed() = &w.record;
-  tell("m7", {0, Grant{900'000'000'000'000, 0, w.record.now + 500 * kMillisecond, 0}, 9, 1'000'000'000});
+  current_record() = &w.record;
+  deliver_update("m7",
+                 {0, Grant{900'000'000'000'000, 0, w.record.now + 500 * kMillisecond, 0}, 9, 1'000'000'000});
   Outbox out;
   cut.routes->step(w.clock(cut), *cut.record, {"m7"}, out);
   CHECK(cut.routes->placement_mode(w.clock(cut)) == PlacementMode::alone);
@@ -316,37 +319,37 @@
 
 TEST_CASE("a member that starts in the middle places by the version that is in force, or nothing") {
   for (int phase = 0; phase < 2; ++phase) {
-    Begun w;
+    ActivatedNetwork w;
     w.kill("m8");
     w.run(2 * kSecond);
     w.offer("m5", table(2));
-    w.until([&] { return phase ? w.agreed_routes().next == 2 : w.agreed_routes().staged == 2; });
+    w.run_until([&] { return phase ? w.recorded_routes().next == 2 : w.recorded_routes().staged == 2; });
     w.restart("m8");
     CHECK(w.members.at("m8").routes->placement_mode(w.clock(w.members.at("m8"))) == PlacementMode::fenced);
     w.run(3 * kSecond);
     CHECK(w.all_place_by(2));
-    w.verdict();
+    w.check_overlap();
   }
 }
 
 TEST_CASE("under chance of every kind no call by an older version comes after one by a newer") {
-  const char* asked = std::getenv("FLEET_ROUTES_SEEDS");
-  const std::uint64_t seeds = asked ? std::strtoull(asked, nullptr, 10) : 300;
-  std::uint64_t placed = 0, fenced = 0, switched = 0, settled = 0;
+  const char* seeds_text = std::getenv("FLEET_ROUTES_SEEDS");
+  const std::uint64_t seeds = seeds_text ? std::strtoull(seeds_text, nullptr, 10) : 300;
+  std::uint64_t placed = 0, fenced = 0, switched = 0, converged = 0;
   Time worst = -kSecond * 1000;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     CAPTURE(seed);
-    World w(9, seed);
+    RoutesNetwork w(9, seed);
     auto& r = w.record;
-    auto any = [&] { return "m" + std::to_string(r.between(0, 8)); };
+    auto any_member = [&] { return "m" + std::to_string(r.between(0, 8)); };
     for (auto& [name, b] : w.members) b.offset = r.between(-24, 24) * kMillisecond;
-    r.loss = r.chance() < 0.5 ? 0 : 0.2 * r.chance();
-    r.twice = 0.1 * r.chance();
-    r.delay_most = r.between(2, 20) * kMillisecond;
+    r.loss = r.uniform() < 0.5 ? 0 : 0.2 * r.uniform();
+    r.duplicate_rate = 0.1 * r.uniform();
+    r.max_delay = r.between(2, 20) * kMillisecond;
     std::uint64_t version = 0;
     w.run(500 * kMillisecond);
     for (int i = 0; i < 24; ++i) {
-      const std::string name = any();
+      const std::string name = any_member();
       switch (r.between(0, 8)) {
         case 0:
           w.sleep(name, r.between(50, 2000) * kMillisecond);
@@ -370,7 +373,7 @@
         default:
           try {
             w.offer(name, table(++version));
-            if (r.chance() < 0.2) w.offer(any(), table(version + 1));
+            if (r.uniform() < 0.2) w.offer(any_member(), table(version + 1));
           } catch (const config::DecodeError&) {
           }
       }
@@ -385,7 +388,7 @@
     w.run(6 * kSecond);
     // What was asked for is not always reached; that all are at one place is.
     CHECK(w.all_place_by(r.ledger.routes.in_force));
-    settled += w.all_place_by(r.ledger.routes.in_force);
+    converged += w.all_place_by(r.ledger.routes.in_force);
     worst = std::max(worst, w.overlap());
     switched += w.first.size() - 1;
     for (auto& [m, b] : w.members) placed += b.placed, fenced += b.fenced;
@@ -394,7 +397,7 @@
       "%llu seeds: %llu switches, %llu calls placed, %llu fenced, overlap at most %.1f ms, settled %llu\n",
       static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(switched),
       static_cast<unsigned long long>(placed), static_cast<unsigned long long>(fenced),
-      static_cast<double>(worst) / 1e3, static_cast<unsigned long long>(settled));
+      static_cast<double>(worst) / 1e3, static_cast<unsigned long long>(converged));
   CHECK(switched > seeds);  // the load reaches what it is to try
 }
 
--- a/tests/fleet/routes/agreed.cpp
+++ b/tests/fleet/routes/fake_record.cpp
@@ -1,4 +1,4 @@
-#include "agreed.h"
+#include "fake_record.h"
 
 #include <algorithm>
 
@@ -14,38 +14,38 @@
   Time heard_at = -1;
   std::vector<Command> waiting;
   Time again = 0;
-  test::Agreed* world;
+  test::FakeRecord* network;
 };
 
 namespace test {
-Agreed*& agreed() {
-  static thread_local Agreed* world = nullptr;
-  return world;
+FakeRecord*& current_record() {
+  static thread_local FakeRecord* network = nullptr;
+  return network;
 }
 }  // namespace test
 
 // The one place that sees into a member's record.
-struct Peek {
-  static std::map<std::string, std::function<void(const test::News&)>>& listeners() {
-    static thread_local std::map<std::string, std::function<void(const test::News&)>> all;
+struct RecordListeners {
+  static std::map<std::string, std::function<void(const test::LeaderUpdate&)>>& listeners() {
+    static thread_local std::map<std::string, std::function<void(const test::LeaderUpdate&)>> all;
     return all;
   }
 };
 
 namespace test {
 
-void tell(const std::string& member, const News& news) {
-  auto it = Peek::listeners().find(member);
-  if (it != Peek::listeners().end()) it->second(news);
+void deliver_update(const std::string& member, const LeaderUpdate& update) {
+  auto it = RecordListeners::listeners().find(member);
+  if (it != RecordListeners::listeners().end()) it->second(update);
 }
 
-void Agreed::send(const std::string& from, const std::string& to, std::function<void()> act) {
+void FakeRecord::send(const std::string& from, const std::string& to, std::function<void()> act) {
   ++messages;
-  for (int copy = chance() < twice ? 2 : 1; copy > 0; --copy) {
-    if (chance() < loss || !reach(from, to)) continue;
+  for (int copy = uniform() < duplicate_rate ? 2 : 1; copy > 0; --copy) {
+    if (uniform() < loss || !can_reach(from, to)) continue;
     const Time sent_at = clock_of(from);
-    at(now + between(delay_least, delay_most), [=, this] {
-      if (!reach(from, to)) return;
+    at(now + between(min_delay, max_delay), [=, this] {
+      if (!can_reach(from, to)) return;
       arrive(to, [=, this] {
         heard(to, from, sent_at);
         act();
@@ -54,20 +54,20 @@
   }
 }
 
-void Agreed::arrive(const std::string& to, std::function<void()> act) {
-  if (dozing(to))
+void FakeRecord::arrive(const std::string& to, std::function<void()> act) {
+  if (asleep(to))
     at(now + 20 * kMillisecond, [=, this] { arrive(to, act); });
   else if (awake(to))
     act();
 }
 
-bool Agreed::has_majority(const std::string& name) const {
+bool FakeRecord::has_majority(const std::string& name) const {
   auto n = std::count_if(voters.begin(), voters.end(),
-                         [&](const std::string& v) { return awake(v) && reach(name, v); });
+                         [&](const std::string& v) { return awake(v) && can_reach(name, v); });
   return awake(name) && 2 * n > static_cast<std::ptrdiff_t>(voters.size());
 }
 
-void Agreed::append(Command command) {
+void FakeRecord::append(Command command) {
   auto known = [&](const CommandId& id) {
     return std::any_of(log.begin() + static_cast<std::ptrdiff_t>(committed), log.end(),
                        [&](const Entry& e) { return e.command.id == id; });
@@ -77,10 +77,10 @@
   if (auto* activate = std::get_if<ActivateRoutes>(&command.body))
     activate->activation_time =
         std::max(activate->activation_time, clock_of(leader) + settings.lease + 2 * settings.clock_bound);
-  log.push_back({std::move(command), now + between(2 * delay_least, 2 * delay_most)});
+  log.push_back({std::move(command), now + between(2 * min_delay, 2 * max_delay)});
 }
 
-std::optional<Grant> Agreed::grant() const {
+std::optional<Grant> FakeRecord::grant() const {
   const Time clock = clock_of(leader);
   const RouteState& r = ledger.routes;
   Grant g{r.in_force, r.next, clock + settings.lease, r.activation_time};
@@ -90,10 +90,10 @@
   return g;
 }
 
-void Agreed::run_leader() {
+void FakeRecord::run_leader() {
   if (leader.empty() || !has_majority(leader)) {
-    if (leads_until == 0) leads_until = now + between(250 * kMillisecond, 600 * kMillisecond);
-    if (now < leads_until) {
+    if (election_at == 0) election_at = now + between(250 * kMillisecond, 600 * kMillisecond);
+    if (now < election_at) {
       // It still grants to those that it reaches, for as long as nobody else can lead.
     } else {
       std::vector<std::string> able;
@@ -102,12 +102,12 @@
       if (able.empty()) return;
       leader = able[static_cast<std::size_t>(between(0, static_cast<Time>(able.size()) - 1))];
       ++term;
-      leads_until = 0;
-      if (chance() < 0.5) log.resize(committed);  // what no majority had may be lost, or be kept
+      election_at = 0;
+      if (uniform() < 0.5) log.resize(committed);  // what no majority had may be lost, or be kept
     }
   } else {
-    leads_until = 0;
-    while (committed < log.size() && log[committed].settled_at <= now) {
+    election_at = 0;
+    while (committed < log.size() && log[committed].committed_at <= now) {
       ++committed;
       apply(ledger, committed, log[committed - 1].command);
     }
@@ -119,33 +119,33 @@
     }
   }
   if (leader.empty() || !awake(leader)) return;
-  News news{committed, grant(), term, ++order};
-  for (const std::string& member : told) {
+  LeaderUpdate update{committed, grant(), term, ++order};
+  for (const std::string& member : followers) {
     if (member == leader)
-      tell(member, news);
+      deliver_update(member, update);
     else
-      send(leader, member, [member, news] { tell(member, news); });
+      send(leader, member, [member, update] { deliver_update(member, update); });
   }
 }
 
 }  // namespace test
 
 void Record::Release::operator()(State* state) const {
-  Peek::listeners().erase(state->settings.name);
+  RecordListeners::listeners().erase(state->settings.name);
   delete state;
 }
 
 Record::Record(const Settings& settings, std::uint64_t incarnation, Disk*, bool, std::uint64_t, Time)
-    : state_(new State{settings, incarnation, 1, {}, 0, {}, 0, 0, -1, {}, 0, test::agreed()}) {
+    : state_(new State{settings, incarnation, 1, {}, 0, {}, 0, 0, -1, {}, 0, test::current_record()}) {
   State* s = state_.get();
-  Peek::listeners()[settings.name] = [s](const test::News& news) {
-    for (; s->applied < news.committed; ++s->applied)
-      apply(s->ledger, s->applied + 1, s->world->log[s->applied].command);
-    if (news.serial <= s->serial) return;  // of an older one: late
-    s->serial = news.serial;
-    s->term = news.term;
-    s->grant = news.grant;
-    s->heard_at = s->world->now;
+  RecordListeners::listeners()[settings.name] = [s](const test::LeaderUpdate& update) {
+    for (; s->applied < update.committed; ++s->applied)
+      apply(s->ledger, s->applied + 1, s->network->log[s->applied].command);
+    if (update.serial <= s->serial) return;  // of an older one: late
+    s->serial = update.serial;
+    s->term = update.term;
+    s->grant = update.grant;
+    s->heard_at = s->network->now;
   };
 }
 
@@ -161,7 +161,7 @@
   if (now < s.again) return;
   s.again = now + 100 * kMillisecond;
   for (const Command& c : s.waiting)
-    s.world->send(s.settings.name, s.world->leader, [w = s.world, to = s.world->leader, c] {
+    s.network->send(s.settings.name, s.network->leader, [w = s.network, to = s.network->leader, c] {
       if (w->leader == to && w->has_majority(to)) w->append(c);
     });
 }
@@ -179,12 +179,12 @@
 const Ledger& Record::ledger() const { return state_->ledger; }
 std::optional<Grant> Record::grant() const { return state_->grant; }
 Role Record::role() const {
-  return state_->settings.name == state_->world->leader ? Role::leader : Role::observer;
+  return state_->settings.name == state_->network->leader ? Role::leader : Role::observer;
 }
 std::uint64_t Record::term() const { return state_->term; }
-std::string Record::leader() const { return state_->world->leader; }
+std::string Record::leader() const { return state_->network->leader; }
 bool Record::has_majority(Time) const {
-  return state_->heard_at >= 0 && state_->world->now - state_->heard_at < 500 * kMillisecond;
+  return state_->heard_at >= 0 && state_->network->now - state_->heard_at < 500 * kMillisecond;
 }
 bool Record::may_vote() const { return false; }
 
--- a/tests/fleet/routes/agreed.h
+++ b/tests/fleet/routes/fake_record.h
@@ -11,22 +11,22 @@
 
 namespace marblehub::fleet::test {
 
-struct Agreed {
+struct FakeRecord {
   Settings settings;
-  std::mt19937_64 random{1};
+  std::mt19937_64 rng{1};
   Time now = 0;  // true time
   std::function<bool(const std::string&)> awake = [](const std::string&) { return true; };
-  std::function<bool(const std::string&, const std::string&)> reach = [](auto&, auto&) { return true; };
+  std::function<bool(const std::string&, const std::string&)> can_reach = [](auto&, auto&) { return true; };
   std::function<Time(const std::string&)> clock_of = [this](const std::string&) { return now; };
   std::function<void(const std::string&, const std::string&, Time)> heard = [](auto&, auto&, Time) {};
   // Asleep, and to wake: what arrives waits in its sockets.
-  std::function<bool(const std::string&)> dozing = [](const std::string&) { return false; };
-  double loss = 0, twice = 0;
-  Time delay_least = kMillisecond, delay_most = 8 * kMillisecond;
+  std::function<bool(const std::string&)> asleep = [](const std::string&) { return false; };
+  double loss = 0, duplicate_rate = 0;
+  Time min_delay = kMillisecond, max_delay = 8 * kMillisecond;
 
   struct Entry {
     Command command;
-    Time settled_at;  // true time at which a majority has it
+    Time committed_at;  // true time at which a majority has it
   };
   std::vector<Entry> log;
   std::size_t committed = 0;
@@ -34,7 +34,7 @@
   std::string leader;
   std::uint64_t term = 1;
   std::vector<std::string> voters;
-  Time leads_until = 0;  // of a leader that lost its majority: when another is elected
+  Time election_at = 0;  // of a leader that lost its majority: when another is elected
   std::uint64_t messages = 0;
 
   struct Event {
@@ -49,24 +49,24 @@
   void send(const std::string& from, const std::string& to, std::function<void()> act);
   void arrive(const std::string& to, std::function<void()> act);
 
-  double chance() { return std::uniform_real_distribution<>(0, 1)(random); }
-  Time between(Time a, Time b) { return std::uniform_int_distribution<Time>(a, b)(random); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(rng); }
+  Time between(Time a, Time b) { return std::uniform_int_distribution<Time>(a, b)(rng); }
 
   void append(Command command);
   void run_leader();  // every few milliseconds
   std::optional<Grant> grant() const;
   bool has_majority(const std::string& name) const;
-  std::set<std::string> told;  // members that a leader tells
+  std::set<std::string> followers;  // members that a leader tells
 };
 
-Agreed*& agreed();  // that of the world being built or run
+FakeRecord*& current_record();  // that of the world being built or run
 
 // What the fake record of a member is told by a leader.
-struct News {
+struct LeaderUpdate {
   std::size_t committed;
   std::optional<Grant> grant;
   std::uint64_t term, serial;
 };
-void tell(const std::string& member, const News& news);
+void deliver_update(const std::string& member, const LeaderUpdate& update);
 
 }  // namespace marblehub::fleet::test
--- a/tests/fleet/routes/nodes.h
+++ b/tests/fleet/routes/node_network.h
@@ -38,8 +38,8 @@
   Contents load() override { return kept; }
 };
 
-struct Nodes {
-  struct One {
+struct NodeNetwork {
+  struct Member {
     Settings settings;
     MapDisk disk;
     std::unique_ptr<Node> node;
@@ -49,13 +49,13 @@
     std::uint64_t version = 0, placed = 0, fenced = 0;
     PlacementMode mode = PlacementMode::fenced;
   };
-  std::map<std::string, One> members;
-  std::map<std::string, std::string> named;  // by address
+  std::map<std::string, Member> members;
+  std::map<std::string, std::string> name_by_address;  // by address
   Time now = 1'800'000'000 * kSecond;
-  std::mt19937_64 random;
-  double loss = 0, twice = 0;
-  Time delay_least = 200, delay_most = 2 * kMillisecond;
-  std::uint64_t messages = 0, octets = 0, record_messages = 0;
+  std::mt19937_64 rng;
+  double loss = 0, duplicate_rate = 0;
+  Time min_delay = 200, max_delay = 2 * kMillisecond;
+  std::uint64_t messages = 0, bytes = 0, record_messages = 0;
   std::map<std::uint64_t, Time> first, last;
   std::map<std::uint64_t, std::map<std::string, Time>> first_at;
 
@@ -69,12 +69,12 @@
   };
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
   std::uint64_t order = 0;
-  std::function<void(const Event&)> seen_by_wire = [](const Event&) {};
+  std::function<void(const Event&)> on_send = [](const Event&) {};
 
-  Nodes(int n, std::uint64_t seed, std::function<void(Settings&)> change = {}) : random(seed) {
+  NodeNetwork(int n, std::uint64_t seed, std::function<void(Settings&)> change = {}) : rng(seed) {
     for (int i = 0; i < n; ++i) {
       const std::string name = "m" + std::to_string(i);
-      One& one = members[name];
+      Member& one = members[name];
       Settings& s = one.settings;
       s.enabled = true;
       s.fleet = "test";
@@ -85,17 +85,17 @@
       s.voters = {"m0", "m1", "m2"};
       s.routes_file = "routes.json";
       if (change) change(s);
-      named[s.listen] = name;
+      name_by_address[s.listen] = name;
       start(name);
     }
   }
-  Time clock(const One& one) const { return now + one.offset; }
-  bool awake(const One& one) const { return one.node && now >= one.asleep_until; }
-  Time between(Time a, Time b) { return std::uniform_int_distribution<Time>(a, b)(random); }
-  double chance() { return std::uniform_real_distribution<>(0, 1)(random); }
+  Time clock(const Member& one) const { return now + one.offset; }
+  bool awake(const Member& one) const { return one.node && now >= one.asleep_until; }
+  Time between(Time a, Time b) { return std::uniform_int_distribution<Time>(a, b)(rng); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(rng); }
 
   void start(const std::string& name) {
-    One& one = members.at(name);
+    Member& one = members.at(name);
     NodeOptions parts;
     parts.settings = one.settings;
     parts.calls = {{"ride", "park"}, {}};
@@ -104,7 +104,7 @@
     parts.disk = voter ? &one.disk : nullptr;
     parts.first_fleet = voter && one.incarnation == 0;
     parts.incarnation = ++one.incarnation;
-    parts.seed = random();
+    parts.seed = rng();
     one.node = std::make_unique<Node>(std::move(parts), clock(one));
     one.node->routes()->update_workers({{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}});
     one.due = 0;
@@ -121,7 +121,7 @@
     return name;
   }
   void offer(const std::string& name, const std::string& text) {
-    One& one = members.at(name);
+    Member& one = members.at(name);
     if (!awake(one)) return;
     Outbox out;
     one.node->routes()->offer(clock(one), text, one.node->record(), out);
@@ -132,26 +132,26 @@
     for (Outgoing& o : out) {
       std::string to = o.to;
       if (to.starts_with("@")) {
-        auto it = named.find(to.substr(1));
-        if (it == named.end()) continue;
+        auto it = name_by_address.find(to.substr(1));
+        if (it == name_by_address.end()) continue;
         to = it->second;
       }
       ++messages;
-      octets += o.body.size();
+      bytes += o.body.size();
       record_messages += o.component == Component::record;
       if (!members.count(to) || members.at(to).side != members.at(from).side) continue;
-      for (int copy = chance() < twice ? 2 : 1; copy > 0; --copy)
-        if (chance() >= loss) {
+      for (int copy = uniform() < duplicate_rate ? 2 : 1; copy > 0; --copy)
+        if (uniform() >= loss) {
           const Event sent{
-              now + between(delay_least, delay_most), ++order, from, to, o, clock(members.at(from))};
+              now + between(min_delay, max_delay), ++order, from, to, o, clock(members.at(from))};
           events.push(sent);
-          seen_by_wire(sent);
+          on_send(sent);
         }
     }
     out.clear();
   }
   void deliver(const Event& e) {
-    One& one = members.at(e.to);
+    Member& one = members.at(e.to);
     if (one.side != members.at(e.from).side || !one.node) return;
     if (!awake(one)) {  // it waits in its sockets
       Event later = e;
@@ -166,7 +166,7 @@
     one.due = std::min(one.due, one.node->next_due());
     post(e.to, out);
   }
-  void place(const std::string& name, One& one) {
+  void place(const std::string& name, Member& one) {
     one.mode = one.node->routes()->placement_mode(clock(one));
     if (one.mode == PlacementMode::fenced || one.mode == PlacementMode::alone) return void(++one.fenced);
     one.version = one.node->routes()->route(clock(one), "ride", "", "7").version;
@@ -211,7 +211,7 @@
            one.mode == (version ? PlacementMode::by_table : PlacementMode::no_table);
     return n;
   }
-  std::string standing() const {
+  std::string describe() const {
     std::string text;
     for (auto& [name, one] : members) {
       text += name + ": ";
--- a/tests/fleet/routes/node_test.cpp
+++ b/tests/fleet/routes/node_test.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 
 #include "config/options.h"
-#include "nodes.h"
+#include "node_network.h"
 
 namespace marblehub::fleet::test {
 namespace {
@@ -14,35 +14,35 @@
          R"( "rules": [{"area": "7", "pool": ")" + pool + R"("}], "otherwise": "south"})";
 }
 
-struct Begun : Nodes {
-  explicit Begun(std::uint64_t seed = 1, std::function<void(Settings&)> change = {})
-      : Nodes(9, seed, change) {
+struct ActivatedNetwork : NodeNetwork {
+  explicit ActivatedNetwork(std::uint64_t seed = 1, std::function<void(Settings&)> change = {})
+      : NodeNetwork(9, seed, change) {
     run(5 * kSecond);
-    INFO(standing());
+    INFO(describe());
     REQUIRE(placing_by(0) == 9);
     offer("m4", table(1));
     run(2 * kSecond);
-    INFO(standing());
+    INFO(describe());
     REQUIRE(placing_by(1) == 9);
   }
   const RouteState& seen(const std::string& by) { return members.at(by).node->record().ledger().routes; }
-  void until(const std::function<bool()>& reached, Time most = 5 * kSecond) {
-    for (Time end = now + most; !reached() && now < end;) run(2 * kMillisecond);
-    INFO(standing());
+  void run_until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
+    for (Time end = now + max_wait; !reached() && now < end;) run(2 * kMillisecond);
+    INFO(describe());
     REQUIRE(reached());
   }
-  void verdict() { CHECK(overlap() <= members.begin()->second.settings.clock_bound); }
+  void check_overlap() { CHECK(overlap() <= members.begin()->second.settings.clock_bound); }
   void all_by(std::uint64_t version, std::size_t of = 9) {
-    INFO(standing());
+    INFO(describe());
     CHECK(placing_by(version) == of);
-    verdict();
+    check_overlap();
   }
 };
 
 }  // namespace
 
 TEST_CASE("nodes: an undisturbed activation takes under a second") {
-  Begun w;
+  ActivatedNetwork w;
   const Time offered = w.now;
   w.offer("m5", table(2, "south"));
   w.run(2 * kSecond, kMillisecond);
@@ -56,10 +56,10 @@
 TEST_CASE("nodes: a proposer killed between the phases, or at the moment") {
   for (bool late : {false, true}) {
     CAPTURE(late);
-    Begun w;
+    ActivatedNetwork w;
     w.offer("m5", table(2));
-    w.until([&] { return (late ? w.seen("m3").next : w.seen("m3").staged) == 2; });
-    if (late) w.until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
+    w.run_until([&] { return (late ? w.seen("m3").next : w.seen("m3").staged) == 2; });
+    if (late) w.run_until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
     w.kill("m5");
     w.run(6 * kSecond);
     w.all_by(late ? 2 : 1, 8);
@@ -71,10 +71,10 @@
   for (int phase = 0; phase < 3; ++phase)
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       CAPTURE(phase, seed);
-      Begun w(seed);
+      ActivatedNetwork w(seed);
       w.offer("m5", table(2));
-      w.until([&] { return (phase ? w.seen("m3").next : w.seen("m3").staged) == 2; });
-      if (phase == 2) w.until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
+      w.run_until([&] { return (phase ? w.seen("m3").next : w.seen("m3").staged) == 2; });
+      if (phase == 2) w.run_until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
       const std::string leader = w.leader();
       w.kill(leader);
       w.run(8 * kSecond);
@@ -86,9 +86,9 @@
 }
 
 TEST_CASE("nodes: a member asleep across the moment") {
-  Begun w;
+  ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.until([&] { return w.seen("m3").staged == 2 && !w.seen("m3").waited_for.count("m7"); });
+  w.run_until([&] { return w.seen("m3").staged == 2 && !w.seen("m3").waited_for.count("m7"); });
   w.sleep("m7", 2 * kSecond);
   w.run(2 * kSecond - 2 * kMillisecond);
   auto& slept = w.members.at("m7");
@@ -100,13 +100,13 @@
 }
 
 TEST_CASE("nodes: messages of an old generation, delivered after a restart, bring no old version back") {
-  Begun w;
-  std::vector<Nodes::Event> old;
-  w.seen_by_wire = [&](const Nodes::Event& e) {
+  ActivatedNetwork w;
+  std::vector<NodeNetwork::Event> old;
+  w.on_send = [&](const NodeNetwork::Event& e) {
     if (e.to == "m7" || e.to == "m1") old.push_back(e);
   };
   w.run(kSecond);
-  w.seen_by_wire = [](const Nodes::Event&) {};
+  w.on_send = [](const NodeNetwork::Event&) {};
   REQUIRE(old.size() > 10);
   w.kill("m7");
   w.run(200 * kMillisecond);
@@ -114,7 +114,7 @@
   w.run(6 * kSecond);
   w.start("m7");
   for (int round = 0; round < 3; ++round) {
-    for (const Nodes::Event& e : old) w.deliver(e);
+    for (const NodeNetwork::Event& e : old) w.deliver(e);
     CHECK(w.members.at("m7").node->routes()->placement_mode(w.now) != PlacementMode::no_table);
     w.run(100 * kMillisecond);
   }
@@ -124,13 +124,13 @@
 }
 
 TEST_CASE("nodes: the halves of a partition, and its heal") {
-  Begun w;
+  ActivatedNetwork w;
   for (const char* m : {"m5", "m6", "m7", "m8"}) w.members.at(m).side = 1;
   w.run(16 * kSecond);  // the view gives half of nine up later than one: each accuser has fewer to ask
   w.offer("m4", table(2));
   w.run(2 * kSecond);
   {
-    INFO(w.standing());
+    INFO(w.describe());
     CHECK(w.placing_by(2) == 5);
   }
   for (const char* m : {"m5", "m6", "m7", "m8"}) CHECK(w.members.at(m).mode == PlacementMode::fenced);
@@ -140,7 +140,7 @@
 }
 
 TEST_CASE("nodes: a majority of the voters lost, and back from their disks") {
-  Begun w;
+  ActivatedNetwork w;
   w.kill("m1");
   w.kill("m2");
   w.run(4 * kSecond);
@@ -158,20 +158,21 @@
 TEST_CASE("nodes: clocks off within the bound go along, one beyond it fences itself") {
   for (Time sign : {1, -1}) {
     CAPTURE(sign);
-    Nodes near(9, 5, [](Settings& s) { s.clock_bound = 400 * kMillisecond, s.lease = 1500 * kMillisecond; });
+    NodeNetwork near(9, 5,
+                     [](Settings& s) { s.clock_bound = 400 * kMillisecond, s.lease = 1500 * kMillisecond; });
     near.members.at("m7").offset = sign * 300 * kMillisecond;
     near.run(6 * kSecond);
     near.offer("m5", table(1));
     near.run(6 * kSecond);
-    INFO(near.standing());
+    INFO(near.describe());
     CHECK(near.placing_by(1) == 9);
     CHECK(near.overlap() <= 400 * kMillisecond);
-    Nodes far(9, 5);
+    NodeNetwork far(9, 5);
     far.members.at("m7").offset = sign * 300 * kMillisecond;
     far.run(6 * kSecond);
     far.offer("m5", table(1));
     far.run(3 * kSecond);
-    INFO(far.standing());
+    INFO(far.describe());
     CHECK(far.placing_by(1) == 8);
     CHECK(far.members.at("m7").mode == PlacementMode::fenced);
     CHECK(far.members.at("m7").placed == 0);
@@ -179,21 +180,21 @@
 }
 
 TEST_CASE("nodes: under chance no call by an older version comes after one by a newer") {
-  const char* asked = std::getenv("FLEET_NODES_SEEDS");
-  const std::uint64_t seeds = asked ? std::strtoull(asked, nullptr, 10) : 20;
+  const char* seeds_text = std::getenv("FLEET_NODES_SEEDS");
+  const std::uint64_t seeds = seeds_text ? std::strtoull(seeds_text, nullptr, 10) : 20;
   std::uint64_t switched = 0, placed = 0, fenced = 0;
   Time worst = -kSecond * 1000;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     CAPTURE(seed);
-    Nodes w(9, seed);
-    auto any = [&] { return "m" + std::to_string(w.between(0, 8)); };
+    NodeNetwork w(9, seed);
+    auto any_member = [&] { return "m" + std::to_string(w.between(0, 8)); };
     for (auto& [name, one] : w.members) one.offset = w.between(-24, 24) * kMillisecond;
-    w.twice = 0.05;
+    w.duplicate_rate = 0.05;
     w.run(4 * kSecond);
-    w.loss = w.chance() < 0.5 ? 0 : 0.15 * w.chance();
+    w.loss = w.uniform() < 0.5 ? 0 : 0.15 * w.uniform();
     std::uint64_t version = 0;
     for (int i = 0; i < 16; ++i) {
-      const std::string name = any(), leader = w.leader();
+      const std::string name = any_member(), leader = w.leader();
       switch (w.between(0, 8)) {
         case 0:
           w.sleep(name, w.between(50, 2000) * kMillisecond);
@@ -217,12 +218,12 @@
         default:
           try {
             w.offer(name, table(++version));
-            if (w.chance() < 0.2) w.offer(any(), table(version + 1));
+            if (w.uniform() < 0.2) w.offer(any_member(), table(version + 1));
           } catch (const config::DecodeError&) {
           }
       }
       w.run(w.between(10, 900) * kMillisecond);
-      INFO(w.standing());
+      INFO(w.describe());
       REQUIRE(w.overlap() <= 50 * kMillisecond);
     }
     for (auto& [m, one] : w.members) {
@@ -231,7 +232,7 @@
     }
     w.loss = 0;
     w.run(15 * kSecond);
-    INFO(w.standing());
+    INFO(w.describe());
     const RouteState& routes = w.members.at("m3").node->record().ledger().routes;
     CHECK(w.placing_by(std::max(routes.in_force, routes.next)) == 9);
     CHECK(w.overlap() <= 50 * kMillisecond);
--- a/tests/fleet/routes/world.h
+++ b/tests/fleet/routes/routes_network.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <memory>
 
-#include "agreed.h"
+#include "fake_record.h"
 #include "fleet/routes/routes.h"
 
 namespace marblehub::fleet::test {
@@ -27,7 +27,7 @@
 
 inline std::vector<ListedWorker> listed() { return {{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}}; }
 
-struct World {
+struct RoutesNetwork {
   struct Balancer {
     Settings settings;
     Time offset = 0, asleep_until = 0;
@@ -41,25 +41,25 @@
     std::uint64_t version = 0;
     PlacementMode mode = PlacementMode::fenced;
   };
-  Agreed record;
+  FakeRecord record;
   std::map<std::string, Balancer> members;
-  std::map<std::string, std::map<std::string, Time>> met;
+  std::map<std::string, std::map<std::string, Time>> last_contact;
   // True time of the first and last call placed by each version.
   std::map<std::uint64_t, Time> first, last;
   std::map<std::uint64_t, std::map<std::string, Time>> first_at;
   bool placing_everywhere = true;
 
-  World(int n, std::uint64_t seed, std::function<void(Settings&)> change = {}) {
-    agreed() = &record;
-    record.random.seed(seed);
+  RoutesNetwork(int n, std::uint64_t seed, std::function<void(Settings&)> change = {}) {
+    current_record() = &record;
+    record.rng.seed(seed);
     record.now = 1'800'000'000 * kSecond;
     record.voters = {"m0", "m1", "m2"};
     record.leader = "m0";
     record.awake = [this](const std::string& m) { return awake(m); };
-    record.dozing = [this](const std::string& m) {
+    record.asleep = [this](const std::string& m) {
       return members.at(m).up && record.now < members.at(m).asleep_until;
     };
-    record.reach = [this](const std::string& a, const std::string& b) {
+    record.can_reach = [this](const std::string& a, const std::string& b) {
       return members.at(a).side == members.at(b).side;
     };
     record.clock_of = [this](const std::string& m) { return record.now + members.at(m).offset; };
@@ -67,7 +67,7 @@
       Balancer& b = members.at(to);
       b.routes->observe_clock(clock(b), from, sent_at);
       b.due = 0;
-      met[to][from] = record.now;
+      last_contact[to][from] = record.now;
     };
     for (int i = 0; i < n; ++i) {
       std::string name = "m" + std::to_string(i);
@@ -75,15 +75,15 @@
       b.settings = settings_for(name);
       if (change) change(b.settings);
       record.settings = b.settings;
-      record.told.insert(name);
-      boot(b);
+      record.followers.insert(name);
+      start(b);
     }
     for (auto& [a, x] : members)
-      for (auto& [b, y] : members) met[a][b] = record.now;
+      for (auto& [b, y] : members) last_contact[a][b] = record.now;
   }
-  ~World() {
+  ~RoutesNetwork() {
     members.clear();
-    agreed() = nullptr;
+    current_record() = nullptr;
   }
 
   bool awake(const std::string& m) const {
@@ -91,7 +91,7 @@
     return b.up && record.now >= b.asleep_until;
   }
   Time clock(const Balancer& b) const { return record.now + b.offset; }
-  void boot(Balancer& b) {
+  void start(Balancer& b) {
     b.up = true;
     b.record.reset();
     b.record = std::make_unique<Record>(b.settings, b.incarnation, nullptr, true, 1, clock(b));
@@ -106,7 +106,7 @@
   void restart(const std::string& m) {
     Balancer& b = members.at(m);
     ++b.incarnation;
-    boot(b);
+    start(b);
   }
   void sleep(const std::string& m, Time span) { members.at(m).asleep_until = record.now + span; }
   void offer(const std::string& m, const std::string& text) {
@@ -118,7 +118,7 @@
   }
   std::vector<std::string> alive(const std::string& of) {
     std::vector<std::string> names;
-    for (auto& [name, when] : met[of])
+    for (auto& [name, when] : last_contact[of])
       if (name == of || record.now - when < kSecond) names.push_back(name);
     return names;
   }
@@ -142,7 +142,7 @@
   }
 
   void run(Time span, Time tick = 5 * kMillisecond) {
-    agreed() = &record;
+    current_record() = &record;
     for (const Time end = record.now + span; record.now < end;) {
       const Time until = record.now + tick;
       while (!record.events.empty() && record.events.top().when <= until) {
@@ -157,7 +157,7 @@
       for (auto& [name, b] : members) {
         if (!awake(name)) continue;
         // The order of a step and a call at one moment is anybody's.
-        if (record.chance() < 0.5) place(name, b);
+        if (record.uniform() < 0.5) place(name, b);
         if (clock(b) >= b.due) step(name, b);
         place(name, b);
       }
--- a/tests/fleet/routes/table_test.cpp
+++ b/tests/fleet/routes/table_test.cpp
@@ -108,16 +108,14 @@
 
 TEST_CASE("the first rule that fits is met, as by going through them all, without allocation") {
   for (std::uint32_t seed = 1; seed <= 30; ++seed) {
-    std::mt19937 random(seed);
+    std::mt19937 rng(seed);
     Table table;
     table.version = 5;
     for (int i = 0; i < 20; ++i) table.pools.push_back({"p" + std::to_string(i), {}, {}, {}, {}});
-    auto name = [&](unsigned of) {
-      return random() % 3 ? "x" + std::to_string(random() % of) : std::string();
-    };
+    auto name = [&](unsigned of) { return rng() % 3 ? "x" + std::to_string(rng() % of) : std::string(); };
     for (int i = 0; i < 200; ++i)
-      table.rules.push_back({name(3), name(4), name(30), "p" + std::to_string(random() % 20),
-                             random() % 2 ? "p" + std::to_string(random() % 20) : ""});
+      table.rules.push_back({name(3), name(4), name(30), "p" + std::to_string(rng() % 20),
+                             rng() % 2 ? "p" + std::to_string(rng() % 20) : ""});
     // A covered rule is refused where tables are decoded; here it is taken out.
     auto fits = [](const std::string& rule, const std::string& call) { return rule.empty() || rule == call; };
     std::vector<Rule> kept;
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -3,8 +3,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "dispatched.h"
-#include "nodes.h"
+#include "dispatcher_fixture.h"
+#include "node_network.h"
 #include "support/module_bench.h"
 
 namespace marblehub::test {
@@ -15,13 +15,13 @@
 using fleet::budget_balancers;
 using fleet::kBudgetHold;
 using fleet::kSecond;
-using fleet::test::Nodes;
+using fleet::test::NodeNetwork;
 
 // Nine nodes with modules that go by them. What all may spend of one budget, at a cold worker or anywhere,
 // is the sum of their parts.
-struct Fleet : Nodes {
-  explicit Fleet(int configured) : Nodes(9, 5), configured(configured), began(now) {}
-  int shared_by(const One& one) const {
+struct Fleet : NodeNetwork {
+  explicit Fleet(int configured) : NodeNetwork(9, 5), configured(configured), began(now) {}
+  int shared_by(const Member& one) const {
     Time at = clock(one);
     return budget_balancers(one.node->view().budget_members(at), configured, at - began);
   }
@@ -31,10 +31,10 @@
       if (one.node) all += 1.0 / shared_by(one);
     return all;
   }
-  double most_spent(Time span) {
-    double most = 0;
-    for (const Time end = now + span; now < end; most = std::max(most, spent())) run(kSecond, 20'000);
-    return most;
+  double max_spent(Time span) {
+    double highest = 0;
+    for (const Time end = now + span; now < end; highest = std::max(highest, spent())) run(kSecond, 20'000);
+    return highest;
   }
   void halve() {
     int i = 0;
@@ -62,10 +62,10 @@
 
 TEST_CASE("halves of a partition spend one fleet's budget together while it is held") {
   Fleet f(9);
-  CHECK(f.most_spent(kBudgetHold * 2 + 10 * kSecond) <= 1 + 1e-9);
+  CHECK(f.max_spent(kBudgetHold * 2 + 10 * kSecond) <= 1 + 1e-9);
   f.halve();
-  CHECK(f.most_spent(kBudgetHold) <= 1 + 1e-9);  // the time that is stated
-  CHECK(f.most_spent(kBudgetHold + kFound) <= 2 + 1e-9);
+  CHECK(f.max_spent(kBudgetHold) <= 1 + 1e-9);  // the time that is stated
+  CHECK(f.max_spent(kBudgetHold + kFound) <= 2 + 1e-9);
   CHECK(f.shared_by(f.members.at("m0")) == 4);  // and each half is by itself
   CHECK(f.shared_by(f.members.at("m8")) == 5);
   f.heal();
@@ -77,7 +77,7 @@
   Fleet f(9);
   f.run(kBudgetHold * 2, 20'000);
   for (const char* name : {"m4", "m5", "m6", "m7", "m8"}) f.kill(name);
-  CHECK(f.most_spent(kBudgetHold) <= 4.0 / 9 + 1e-9);
+  CHECK(f.max_spent(kBudgetHold) <= 4.0 / 9 + 1e-9);
   f.run(kBudgetHold + kFound, 20'000);
   CHECK(f.spent() == Approx(1));
 }
@@ -85,7 +85,7 @@
 TEST_CASE("a fleet that starts in halves, or knows nobody yet, goes by what it was told") {
   Fleet f(9);
   f.halve();
-  CHECK(f.most_spent(kBudgetHold - kSecond) <= 1 + 1e-9);
+  CHECK(f.max_spent(kBudgetHold - kSecond) <= 1 + 1e-9);
   f.run(kBudgetHold + kFound, 20'000);
   CHECK(f.shared_by(f.members.at("m0")) == 4);
   CHECK(budget_balancers(1, 9, -5 * kSecond) == 9);  // a clock that was put back
@@ -99,12 +99,12 @@
   Settings s = dear_probes();
   s.balancers = 10;
   std::map<int, int> probes;
-  for (int told : {2, 10, 50}) {
+  for (int balancers : {2, 10, 50}) {
     Bench b(s);
     b.list(EndpointListKind::full, twelve());
     probes_in(b, 100 * kMinute);
-    b.balancer.set_balancer_count(told);
-    probes[told] = probes_in(b, 10 * kMinute);
+    b.balancer.set_balancer_count(balancers);
+    probes[balancers] = probes_in(b, 10 * kMinute);
   }
   CAPTURE(probes[2], probes[10], probes[50]);
   CHECK(probes[50] > probes[10] / 2);
@@ -115,13 +115,13 @@
   Settings s = Bench::settings();
   s.balancers = 10;
   std::map<int, int> probes;
-  for (int told : {0, 10, 1000}) {
-    Dispatched d(s, 12);
-    Dispatched::Gate gate;
-    gate.shared_by = told;
+  for (int balancers : {0, 10, 1000}) {
+    DispatcherFixture d(s, 12);
+    DispatcherFixture::FakeGate gate;
+    gate.shared_by = balancers;
     d.dispatcher->set_gate(gate);
     d.run(600'000'000);
-    for (const auto& [worker, count] : d.probes) probes[told] += count;
+    for (const auto& [worker, count] : d.probes) probes[balancers] += count;
   }
   CHECK(probes[0] == probes[10]);
   CHECK(3 * probes[1000] < probes[10]);
--- a/tests/fleet/service/dispatched.h
+++ b/tests/fleet/service/dispatcher_fixture.h
@@ -12,8 +12,8 @@
 
 namespace marblehub::test {
 
-struct Dispatched : core::Clock, core::Prober, core::Registry, core::ClientSide, core::WorkerSide {
-  struct Gate : core::CallGate {
+struct DispatcherFixture : core::Clock, core::Prober, core::Registry, core::ClientSide, core::WorkerSide {
+  struct FakeGate : core::CallGate {
     int shared_by = 0;
     std::vector<std::string> all_down;
     std::set<std::string> pool;  // where calls may stand; empty: anywhere
@@ -29,13 +29,13 @@
     }
     std::uint64_t placement_version() override { return changed; }
   };
-  struct Out : core::Attempt {
+  struct FakeAttempt : core::Attempt {
     void deliver(std::string_view) override {}
     void hold(bool) override {}
     void finish(core::CloseKind) override {}
   };
 
-  explicit Dispatched(const Settings& settings, int workers) {
+  explicit DispatcherFixture(const Settings& settings, int workers) {
     startup.settings = settings;
     startup.seed = 7;
     startup.known.snapshot = true;
@@ -47,7 +47,7 @@
     for (const Time end = at + span; at < end;) {
       at = std::min(end, std::max(at + 1, dispatcher->next_due()));
       dispatcher->advance();
-      for (const std::string& worker : std::exchange(probed, {}))
+      for (const std::string& worker : std::exchange(pending_probes, {}))
         dispatcher->probe_result(worker, 5000, silent.count(worker) ? Outcome::timeout : Outcome::served, {});
       dispatcher->free_ended();
     }
@@ -56,7 +56,7 @@
   // core::Clock, Prober, Registry, ClientSide, WorkerSide
   Time now() const override { return at; }
   void probe(const std::string& worker, const std::string&) override {
-    probed.push_back(worker);
+    pending_probes.push_back(worker);
     probes[worker] += 1;
   }
   void watch_endpoints() override {}
@@ -69,18 +69,18 @@
   void ended(core::CloseKind) override {}
   std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
                                                const std::string&, Time) override {
-    sent[exchange.id()] = worker;
-    return std::make_unique<Out>();
+    last_worker[exchange.id()] = worker;
+    return std::make_unique<FakeAttempt>();
   }
 
   Time at = 1'800'000'000'000'000;
   config::Startup startup;
   metrics::Registry metrics;
   std::unique_ptr<core::Dispatcher> dispatcher;
-  std::vector<std::string> probed;
+  std::vector<std::string> pending_probes;
   std::map<std::string, int> probes;
-  std::map<std::uint64_t, std::string> sent;  // the last worker of each call
-  std::set<std::string> silent;               // they do not answer probes
+  std::map<std::uint64_t, std::string> last_worker;  // the last worker of each call
+  std::set<std::string> silent;                      // they do not answer probes
   int refused = 0, moved = 0;
 };
 
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -2,7 +2,7 @@
 // dispatcher together on one clock.
 #include <catch2/catch.hpp>
 
-#include "dispatched.h"
+#include "dispatcher_fixture.h"
 #include "rebalance/driver.h"
 
 namespace marblehub::test {
@@ -23,7 +23,8 @@
       : d(Bench::settings(), 4), counters(d.metrics), driver(settings, *d.dispatcher, d.startup, counters) {
     d.dispatcher->set_gate(gate);
     for (int i = 0; i < 400; ++i)
-      d.dispatcher->adopt({}, d, d, std::to_string(1 + i % 4), std::make_unique<Dispatched::Out>(), true);
+      d.dispatcher->adopt({}, d, d, std::to_string(1 + i % 4),
+                          std::make_unique<DispatcherFixture::FakeAttempt>(), true);
     report();
     second(62);  // past its first minute
     REQUIRE(d.moved == 0);
@@ -55,8 +56,8 @@
   }
   std::size_t outside() { return d.dispatcher->out_of_pool().size(); }
 
-  Dispatched d;
-  Dispatched::Gate gate;
+  DispatcherFixture d;
+  DispatcherFixture::FakeGate gate;
   rebalance::Counters counters;
   rebalance::Driver driver;
 };
--- a/tests/fleet/service/pools_test.cpp
+++ b/tests/fleet/service/pools_test.cpp
@@ -3,8 +3,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "dispatched.h"
-#include "nodes.h"
+#include "dispatcher_fixture.h"
+#include "node_network.h"
 
 namespace marblehub::test {
 namespace {
@@ -44,7 +44,7 @@
       workers.update_down(at, {names.begin(), names.end()});
   }
 
-  fleet::test::Nodes nodes;
+  fleet::test::NodeNetwork nodes;
   PooledWorkers workers;
   Time at = 0;
 };
@@ -114,8 +114,8 @@
 }
 
 TEST_CASE("the dispatcher tells its gate which workers the module has down") {
-  Dispatched d(Bench::settings(), 3);
-  Dispatched::Gate gate;
+  DispatcherFixture d(Bench::settings(), 3);
+  DispatcherFixture::FakeGate gate;
   d.dispatcher->set_gate(gate);
   d.silent = {"2"};
   d.run(10'000'000);
