--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -115,7 +115,8 @@
   double load_hint = 0;     // work a second that it will ask for; 0: unknown
   bool returned = false;    // the client comes back after a break or a move
   std::uint64_t group = 0;  // of connections that share work on a backend; 0: none
-  std::shared_ptr<const std::set<std::string>> only = nullptr;  // the backends it may use; none: any
+  std::shared_ptr<const std::set<std::string>> allowed_backends =
+      nullptr;  // the backends it may use; none: any
 };
 
 /// A connection that is open already at the start: attempt 0 stands at the backend.
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -72,9 +72,9 @@
   ramp.draw_open_backends();
   admission.update();
   prober.probe_due_backends();
-  handler.forget_unused_limits();
+  handler.forget_unused_limiters();
   migration.redirect_leaving();
-  handler.look_at_waiting();
+  handler.process_waiting();
 }
 
 Balancer::Balancer(Settings settings, std::uint64_t seed, Time now)
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -13,8 +13,8 @@
 namespace marblehub::policy {
 
 struct Context {
-  Context(Settings its_settings, std::uint64_t seed, Time at)
-      : settings(std::move(its_settings)), random(seed), now(at), started_at(at) {}
+  Context(Settings initial_settings, std::uint64_t seed, Time start)
+      : settings(std::move(initial_settings)), random(seed), now(start), started_at(start) {}
 
   /// Appends an action. Only while an event is handled.
   template <class Kind>
@@ -22,7 +22,7 @@
     actions->emplace_back(std::in_place_type<Kind>, std::move(action));
   }
 
-  double seconds_served() const { return static_cast<double>(now - started_at) / kSecond; }
+  double uptime_seconds() const { return static_cast<double>(now - started_at) / kSecond; }
 
   Settings settings;
   RandomSource random;
--- a/src/policy/discovery/endpoint_list.cpp
+++ b/src/policy/discovery/endpoint_list.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The longest backoff: service discovery that is back has to be heard within 6 s.
-constexpr Time kLongestBackoff = 3500 * kMillisecond;
+constexpr Time kMaxBackoff = 3500 * kMillisecond;
 
 // All balancers start in step: the first calls are spread over so long.
 constexpr Time kFirstCallSpread = 4 * kSecond;
@@ -28,7 +28,7 @@
     for (Backend& backend : backends_) backend.listed = false;
   if (event.entries)
     for (const BackendEntry& entry : *event.entries) apply(entry);
-  note_leaving();
+  update_leaving_since();
   choose_sample(context_.settings, backends_);
 }
 
@@ -39,7 +39,7 @@
   Time after_last_call = called_at_ + context_.random.jittered(backoff_);
   Time from_now = context_.now + context_.random.jittered(kSecond);
   next_call_at_ = std::max(from_now, after_last_call);
-  backoff_ = std::min(2 * backoff_, kLongestBackoff);
+  backoff_ = std::min(2 * backoff_, kMaxBackoff);
 }
 
 void EndpointList::apply(const BackendEntry& entry) {
@@ -54,7 +54,7 @@
   backend->clear_delays();
 }
 
-void EndpointList::note_leaving() {
+void EndpointList::update_leaving_since() {
   for (Backend& backend : backends_) {
     bool stays = backend.listed && !backend.draining;
     if (stays)
--- a/src/policy/discovery/endpoint_list.h
+++ b/src/policy/discovery/endpoint_list.h
@@ -21,7 +21,7 @@
  private:
   void call_failed();
   void apply(const BackendEntry& entry);
-  void note_leaving();
+  void update_leaving_since();
 
   Context& context_;
   BackendTable& backends_;
--- a/src/policy/discovery/fleet_sample.cpp
+++ b/src/policy/discovery/fleet_sample.cpp
@@ -6,8 +6,8 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kFewestSampled = 12;     // backends: enough to lose a third and still choose in every zone
-constexpr double kBalancersABackend = 8;  // enough that one balancer's crowd does not fill a backend
+constexpr double kMinSampledBackends = 12;  // backends: enough to lose a third and still choose in every zone
+constexpr double kMinBalancersPerBackend = 8;  // enough that one balancer's crowd does not fill a backend
 constexpr double kGoldenRatio =
     0.6180339887;  // as a step: any run of neighbouring balancers is spread evenly
 
@@ -23,17 +23,18 @@
   return listed;
 }
 
-double sampled_part(const Settings& settings, std::size_t listed) {
+double sampled_fraction(const Settings& settings, std::size_t listed) {
   // A group's backends are chosen from all, or each balancer would have its own.
   if (settings.groups) return 1;
-  return std::max(kFewestSampled / static_cast<double>(listed), kBalancersABackend / settings.balancers);
+  return std::max(kMinSampledBackends / static_cast<double>(listed),
+                  kMinBalancersPerBackend / settings.balancers);
 }
 
 }  // namespace
 
 void choose_sample(const Settings& settings, BackendTable& backends) {
   const std::vector<int> listed = listed_by_zone(backends);
-  const double part = sampled_part(settings, listed.size());
+  const double part = sampled_fraction(settings, listed.size());
   const double step = settings.balancer_index * kGoldenRatio;
   std::vector<int>& sampled = backends.sampled();
   sampled.clear();
--- a/src/policy/health/delay_signals.h
+++ b/src/policy/health/delay_signals.h
@@ -18,13 +18,13 @@
 
   /// How long a message is said to take at the backend beyond what health checks measure, in ms.
   double delay(const Backend& backend) const {
-    return std::max(backend.observed_delay.at(context_.now, kObservationMemory),
-                    backend.reported_delay.at(context_.now, kReportMemory));
+    return std::max(backend.observed_delay.at(context_.now, kObservationDecayTime),
+                    backend.reported_delay.at(context_.now, kReportDecayTime));
   }
 
   /// Whether a signal has come within that time. An older one has been answered already, by this balancer and
   /// by all others that saw it.
-  bool fresh(const Backend& backend, Time within) const {
+  bool updated_within(const Backend& backend, Time within) const {
     return context_.now - std::max(backend.observed_delay.since, backend.reported_delay.since) < within;
   }
 
@@ -32,22 +32,22 @@
   void observe(Backend& backend, double ms) const { backend.observed_delay.set(capped(ms), context_.now); }
 
   /// The same, if that is longer than what is known.
-  void worsen(Backend& backend, double ms) const { observe(backend, std::max(delay(backend), ms)); }
+  void observe_at_least(Backend& backend, double ms) const { observe(backend, std::max(delay(backend), ms)); }
 
   /// The same as the backend's load report has it. A report that tells no load changes nothing.
-  void take_report(Backend& backend, const LoadReport& report) const;
+  void apply_report(Backend& backend, const LoadReport& report) const;
 
   /// The longest that a delay signal counts for, in ms.
-  double longest_ms() const { return kLongestSignal * shortest_objective_ms_; }
+  double max_delay_ms() const { return kMaxDelayObjectives * shortest_objective_ms_; }
 
-  static constexpr Time kReportMemory = 6 * kSecond;  // a load report is rare and says much
+  static constexpr Time kReportDecayTime = 6 * kSecond;  // a load report is rare and says much
 
  private:
-  static constexpr Time kObservationMemory = 10 * kSecond;
+  static constexpr Time kObservationDecayTime = 10 * kSecond;
   // Times the objective. Without a bound a hung backend's delay would outlast its trouble by 30 s.
-  static constexpr double kLongestSignal = 4;
+  static constexpr double kMaxDelayObjectives = 4;
 
-  double capped(double ms) const { return std::min(ms, longest_ms()); }
+  double capped(double ms) const { return std::min(ms, max_delay_ms()); }
 
   Context& context_;
   const double shortest_objective_ms_;
--- a/src/policy/health/prober.cpp
+++ b/src/policy/health/prober.cpp
@@ -8,55 +8,59 @@
 namespace {
 
 // The design's: a probe each five seconds, the mean of the last twenty, three misses in a row.
-constexpr Time kInterval = 5 * kSecond;
+constexpr Time kProbeInterval = 5 * kSecond;
 constexpr std::size_t kLatencyWindow = 20;
 constexpr int kMissesUntilDown = 3;
 
-constexpr Time kLongestInterval = 600 * kSecond;
-constexpr Time kBusyRate = 8;          // a backend that holds our connections is probed so much oftener
-constexpr double kProbesASecond = 20;  // on one backend from all balancers: some % of a core at most
-constexpr double kNotableLoad = 0.5;   // a backend with a load above it is looked at oftener
+constexpr Time kMaxProbeInterval = 600 * kSecond;
+constexpr Time kBusyRateFactor = 8;  // a backend that holds our connections is probed so much oftener
+constexpr double kMaxBackendProbesPerSecond =
+    20;                                     // on one backend from all balancers: some % of a core at most
+constexpr double kFrequentProbeLoad = 0.5;  // a backend with a load above it is looked at oftener
 
 // The budget: points that probes may cost, under half of one in a hundred.
-constexpr double kBudget = 0.0045;
+constexpr double kProbeBudget = 0.0045;
 // Requests of the fleet that count as seen at its start, and one more a second: down backends are found
 // again.
-constexpr double kUnseenRequests = 100;
-constexpr double kUnseenRequestsABalancer = 3;
-constexpr double kUnseenSeconds = 2;
+constexpr double kInitialRequests = 100;
+constexpr double kInitialRateRequests = 3;
+constexpr double kInitialRateSeconds = 2;
 // Probes that must be left: for any backend, for one that holds connections, and for a suspect.
-constexpr double kSpareBudget = 4, kBusyBudget = 1, kOverdraft = -2;
+constexpr double kIdleBackendBudget = 4, kBusyBackendBudget = 1, kSuspectBudget = -2;
 
 }  // namespace
 
 // Stretched until neither the price of a request nor the work of one backend passes its bound.
 Time Prober::interval() const {
   const Settings& settings = context_.settings;
-  double shares = 0;
+  double weighted_backends = 0;
   for (const Backend& backend : backends_)
     if (backend.listed && (backend.sampled || backend.active > 0))
-      shares += backend.active > 0 ? kBusyRate : 1;
-  double interval = std::max<double>(kInterval, settings.balancers / kProbesASecond * kSecond);
+      weighted_backends += backend.active > 0 ? kBusyRateFactor : 1;
+  double interval =
+      std::max<double>(kProbeInterval, settings.balancers / kMaxBackendProbesPerSecond * kSecond);
   if (settings.price_probe > 0) {
-    double unseen = kUnseenRequestsABalancer / settings.balancers;
-    double request_rate = (requests_.seen + unseen) / (context_.seconds_served() + kUnseenSeconds);
-    double probe_rate = request_rate * kBudget / settings.price_probe;
-    interval = std::max(interval, shares / probe_rate * kSecond);
+    double initial_requests = kInitialRateRequests / settings.balancers;
+    double request_rate =
+        (requests_.total_count + initial_requests) / (context_.uptime_seconds() + kInitialRateSeconds);
+    double probe_rate = request_rate * kProbeBudget / settings.price_probe;
+    interval = std::max(interval, weighted_backends / probe_rate * kSecond);
   }
-  return static_cast<Time>(std::min(interval, static_cast<double>(kLongestInterval)));
+  return static_cast<Time>(std::min(interval, static_cast<double>(kMaxProbeInterval)));
 }
 
 double Prober::budget_left() const {
   const Settings& settings = context_.settings;
-  if (settings.price_probe <= 0) return 2 * kSpareBudget;
-  double requests = requests_.seen + (kUnseenRequests + context_.seconds_served()) / settings.balancers;
-  return requests * kBudget / settings.price_probe - sent_;
+  if (settings.price_probe <= 0) return 2 * kIdleBackendBudget;
+  double requests =
+      requests_.total_count + (kInitialRequests + context_.uptime_seconds()) / settings.balancers;
+  return requests * kProbeBudget / settings.price_probe - probes_sent_;
 }
 
 void Prober::share_budget_by(int balancers) {
   double left = budget_left();
   context_.settings.balancers = balancers;
-  sent_ += budget_left() - left;
+  probes_sent_ += budget_left() - left;
 }
 
 bool Prober::is_candidate(const Backend& backend) const {
@@ -64,9 +68,9 @@
   return backend.sampled || backend.active > 0 || backend.misses > 0;
 }
 
-double Prober::budget_needed(const Backend& backend) const {
-  if (backend.misses > 0) return kOverdraft;
-  return backend.active > 0 ? kBusyBudget : kSpareBudget;
+double Prober::required_budget(const Backend& backend) const {
+  if (backend.misses > 0) return kSuspectBudget;
+  return backend.active > 0 ? kBusyBackendBudget : kIdleBackendBudget;
 }
 
 void Prober::probe_due_backends() {
@@ -78,16 +82,17 @@
   for (std::size_t k = 0; k < count; ++k) {
     Backend& backend = backends_[static_cast<int>((from + k) % count)];
     if (!is_candidate(backend)) continue;
-    if (backend.active > 0 || backend.down || backend.utilization > kNotableLoad)
-      backend.probe_due = std::min(backend.probe_due, now + context_.random.jittered(usual / kBusyRate));
-    if (now < backend.probe_due || budget_left() < budget_needed(backend)) continue;
+    if (backend.active > 0 || backend.down || backend.utilization > kFrequentProbeLoad)
+      backend.probe_due =
+          std::min(backend.probe_due, now + context_.random.jittered(usual / kBusyRateFactor));
+    if (now < backend.probe_due || budget_left() < required_budget(backend)) continue;
     probe(backend);
     backend.probe_due = now + context_.random.jittered(usual);
   }
 }
 
 void Prober::probe(Backend& backend) {
-  sent_ += 1;
+  probes_sent_ += 1;
   backend.probe_in_flight = true;
   context_.emit(Probe{backend.address});
 }
@@ -98,7 +103,7 @@
   Backend& backend = backends_[index];
   backend.probe_in_flight = false;
   if (event.outcome == Outcome::not_sent)
-    return suspect(backend);  // it never left here: no word on the backend
+    return schedule_recheck(backend);  // it never left here: no word on the backend
   if (event.outcome != Outcome::served) return count_miss(backend);
   if (backend.down) {
     // What was said of it before is over; it may have restarted: the list will tell.
@@ -107,15 +112,15 @@
   }
   backend.mark_up();
   backend.add_latency_sample(static_cast<double>(event.rtt) / kMillisecond, kLatencyWindow);
-  delays_.take_report(backend, event.report);
+  delays_.apply_report(backend, event.report);
 }
 
 void Prober::count_miss(Backend& backend) {
   if (++backend.misses >= kMissesUntilDown) backend.down = true;
-  if (!backend.down) suspect(backend);
+  if (!backend.down) schedule_recheck(backend);
 }
 
-void Prober::suspect(Backend& backend) {
+void Prober::schedule_recheck(Backend& backend) {
   backend.probe_due = std::min(backend.probe_due, context_.now + context_.random.jittered(kRecheckInterval));
 }
 
--- a/src/policy/health/prober.h
+++ b/src/policy/health/prober.h
@@ -27,7 +27,7 @@
   void count_miss(Backend& backend);
 
   /// Checks the backend again soon: at a stretched interval three misses would take minutes.
-  void suspect(Backend& backend);
+  void schedule_recheck(Backend& backend);
 
   /// Probes that the budget has left; every probe counts, also of suspects. Negative: overdrawn.
   double budget_left() const;
@@ -39,13 +39,13 @@
  private:
   Time interval() const;
   bool is_candidate(const Backend& backend) const;
-  double budget_needed(const Backend& backend) const;
+  double required_budget(const Backend& backend) const;
 
   Context& context_;
   BackendTable& backends_;
   const DelaySignals& delays_;
   const RequestTable& requests_;
-  double sent_ = 0;
+  double probes_sent_ = 0;
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/load_levels.h
+++ b/src/policy/load_levels.h
@@ -11,7 +11,7 @@
 inline constexpr double kMigrationThreshold = 0.8;
 
 /// Backends of usual size that one group's connections keep to, at most.
-inline constexpr double kMostGroupBackends = 3;
+inline constexpr double kMaxGroupBackends = 3;
 
 /// Weight of a backend that an earlier attempt of the same request was sent to: chosen where nothing else is
 /// left.
--- a/src/policy/migration/migration.cpp
+++ b/src/policy/migration/migration.cpp
@@ -7,37 +7,37 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr Time kOffDownWithin = kSecond;          // a connection leaves a down backend within about so long
-constexpr Time kOffDrainingWithin = 4 * kSecond;  // all are off a draining one by then, evenly spread
-constexpr Time kOffSlowWithin = 5 * kSecond;      // and one whose messages are late within about so long
-constexpr Time kSignalMemory = 2 * kSecond;       // only newer signals move connections
-constexpr double kHeaviest = 2;       // a connection of more than so many usual ones leaves no sooner
-constexpr double kJudgedDelayMs = 1;  // from which a backend without connections is judged
+constexpr Time kLeaveDownTime = kSecond;          // a connection leaves a down backend within about so long
+constexpr Time kLeaveDrainingTime = 4 * kSecond;  // all are off a draining one by then, evenly spread
+constexpr Time kLeaveSlowTime = 5 * kSecond;      // and one whose messages are late within about so long
+constexpr Time kMaxSignalAge = 2 * kSecond;       // only newer signals move connections
+constexpr double kMaxLoadFactor = 2;     // a connection of more than so many usual ones leaves no sooner
+constexpr double kMinJudgedDelayMs = 1;  // from which a backend without connections is judged
 
 }  // namespace
 
-bool Migration::in_trouble(const Backend& backend) const {
+bool Migration::needs_migration(const Backend& backend) const {
   if (backend.active == 0) return false;
-  bool late = delays_.fresh(backend, kSignalMemory) &&
+  bool late = delays_.updated_within(backend, kMaxSignalAge) &&
               delays_.delay(backend) >= kMigrationThreshold * delays_.shortest_objective_ms();
   return backend.leaving_since >= 0 || backend.down || overwhelmed(backend) || late;
 }
 
 // All leave a draining backend before it stops, at an even pace, and none where there is nowhere to go.
-bool Migration::leaves_draining(const Backend& backend) {
+bool Migration::leaves_draining_in_sweep(const Backend& backend) {
   if (!std::any_of(backends_.begin(), backends_.end(), usable)) return false;
-  Time left = backend.leaving_since + kOffDrainingWithin - context_.now;
+  Time left = backend.leaving_since + kLeaveDrainingTime - context_.now;
   return left <= kSweepInterval || context_.random.uniform() * static_cast<double>(left) < kSweepInterval;
 }
 
 // Spread in time, and not when most others are no better.
-bool Migration::leaves(const Request& request) {
+bool Migration::leaves_in_sweep(const Request& request) {
   const Backend& backend = backends_[request.backend];
-  if (backend.leaving_since >= 0) return leaves_draining(backend);
+  if (backend.leaving_since >= 0) return leaves_draining_in_sweep(backend);
   double lateness = std::min(1.0, delays_.delay(backend) / delays_.shortest_objective_ms());
   double rate = backend.down || overwhelmed(backend)
-                    ? 1.0 / kOffDownWithin
-                    : lateness * lateness * std::min(kHeaviest, request.load) / kOffSlowWithin;
+                    ? 1.0 / kLeaveDownTime
+                    : lateness * lateness * std::min(kMaxLoadFactor, request.load) / kLeaveSlowTime;
   return context_.random.uniform() < rate * kSweepInterval && capacity_elsewhere();
 }
 
@@ -51,23 +51,23 @@
 
 // Whether at most half of the backends that can be judged are late or down: else migration is no help.
 bool Migration::capacity_elsewhere() const {
-  if (admission_.admitted_part() < 1) return true;
-  int bad = 0, judged = 1;  // one unknown counts as good
+  if (admission_.admitted_fraction() < 1) return true;
+  int unhealthy = 0, judged = 1;  // one unknown counts as good
   for (const Backend& backend : backends_) {
     if (!backend.listed || backend.draining) continue;
-    judged += backend.active > 0 || backend.down || delays_.delay(backend) >= kJudgedDelayMs;
-    bad += backend.down || admission_.late(backend);
+    judged += backend.active > 0 || backend.down || delays_.delay(backend) >= kMinJudgedDelayMs;
+    unhealthy += backend.down || admission_.late(backend);
   }
-  return 2 * bad <= judged;
+  return 2 * unhealthy <= judged;
 }
 
 void Migration::redirect_leaving() {
-  std::vector<char> troubled;
-  for (const Backend& backend : backends_) troubled.push_back(in_trouble(backend));
-  if (std::find(troubled.begin(), troubled.end(), 1) == troubled.end()) return;
+  std::vector<char> migrating;
+  for (const Backend& backend : backends_) migrating.push_back(needs_migration(backend));
+  if (std::find(migrating.begin(), migrating.end(), 1) == migrating.end()) return;
   for (auto& [id, request] : requests_.requests) {
     if (!request.open || request.answered) continue;
-    if (!troubled[static_cast<std::size_t>(request.backend)] || !leaves(request)) continue;
+    if (!migrating[static_cast<std::size_t>(request.backend)] || !leaves_in_sweep(request)) continue;
     emit_redirect(id, backends_[request.backend]);
     request.answered = true;
   }
--- a/src/policy/migration/migration.h
+++ b/src/policy/migration/migration.h
@@ -23,9 +23,9 @@
   void redirect_leaving();
 
  private:
-  bool in_trouble(const Backend& backend) const;
-  bool leaves(const Request& request);
-  bool leaves_draining(const Backend& backend);
+  bool needs_migration(const Backend& backend) const;
+  bool leaves_in_sweep(const Request& request);
+  bool leaves_draining_in_sweep(const Backend& backend);
   void emit_redirect(std::uint64_t id, const Backend& backend);
   bool capacity_elsewhere() const;
 
--- a/src/policy/placement/group_affinity.cpp
+++ b/src/policy/placement/group_affinity.cpp
@@ -9,52 +9,55 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kWidth = 2;  // times its share of the connections, as other balancers use the backends too
-constexpr double kLatePart = 0.7;   // a delay over this part of the objective: others take its place
-constexpr double kFullLoad = 0.95;  // load at which others have taken all of its place
-constexpr double kLateWeight = 1e-9, kLeastEase = 0.01, kEasePower = 4;
+constexpr double kGroupWidth =
+    2;  // times its share of the connections, as other balancers use the backends too
+constexpr double kLateFraction = 0.7;  // a delay over this part of the objective: others take its place
+constexpr double kFullLoad = 0.95;     // load at which others have taken all of its place
+constexpr double kLateWeight = 1e-9, kMinAvailability = 0.01, kAvailabilityExponent = 4;
 
 // A number from 0 to 1, 0 excluded, that the pair always has.
-double fixed_draw(std::uint64_t backend_hash, std::uint64_t group) {
+double rendezvous_draw(std::uint64_t backend_hash, std::uint64_t group) {
   return (static_cast<double>(mix_bits(backend_hash ^ group) >> 11) + 1) * 0x1p-53;
 }
 
 }  // namespace
 
 // Its weight as it fills up. An old report of fullness is not believed.
-double GroupAffinity::ease(const Backend& backend) const {
-  if (delays_.delay(backend) > kLatePart * delays_.shortest_objective_ms()) return kLateWeight;
-  bool recent = context_.now - backend.report_at < DelaySignals::kReportMemory;
+double GroupAffinity::availability(const Backend& backend) const {
+  if (delays_.delay(backend) > kLateFraction * delays_.shortest_objective_ms()) return kLateWeight;
+  bool recent = context_.now - backend.report_at < DelaySignals::kReportDecayTime;
   double load = recent ? backend.utilization : std::min(backend.utilization, kHeadroomLoad);
-  return std::pow(std::clamp((kFullLoad - load) / (kFullLoad - kHeadroomLoad), kLeastEase, 1.0), kEasePower);
+  return std::pow(std::clamp((kFullLoad - load) / (kFullLoad - kHeadroomLoad), kMinAvailability, 1.0),
+                  kAvailabilityExponent);
 }
 
-double GroupAffinity::rank(const Request& request, int index, double usual_scale) const {
+double GroupAffinity::rank(const Request& request, int index, double mean_scale) const {
   const Backend& backend = backends_[index];
   // A big one that warms up counts as a usual one: the crowd that it draws would be its end.
-  double scale = ramp_.warming(backend) ? usual_scale : backend.scale;
-  double weight = backend.scale * scale * ease(backend) * (request.has_tried(index) ? kTriedWeight : 1);
-  return -std::log(fixed_draw(backend.hash, request.group)) / weight;
+  double scale = ramp_.warming(backend) ? mean_scale : backend.scale;
+  double weight =
+      backend.scale * scale * availability(backend) * (request.has_tried(index) ? kTriedWeight : 1);
+  return -std::log(rendezvous_draw(backend.hash, request.group)) / weight;
 }
 
 std::vector<char> GroupAffinity::select(const Request& request, const std::vector<int>& candidates,
-                                        double usual_scale, double mean_load) const {
+                                        double mean_scale, double mean_load) const {
   std::vector<char> selected(candidates.size(), request.group == 0);
   if (request.group == 0) return selected;
   std::vector<std::pair<double, std::size_t>> ranked;
   for (std::size_t k = 0; k < candidates.size(); ++k)
-    if (!backends_[candidates[k]].down) ranked.emplace_back(rank(request, candidates[k], usual_scale), k);
+    if (!backends_[candidates[k]].down) ranked.emplace_back(rank(request, candidates[k], mean_scale), k);
   std::sort(ranked.begin(), ranked.end());
-  double share = kWidth * groups_.count(request.group) / (kWidth + mean_load);
-  double needed = usual_scale * std::clamp(share, 1.0, kMostGroupBackends);
-  const bool waits = !rules_.nearly_over(request);
+  double share = kGroupWidth * groups_.count(request.group) / (kGroupWidth + mean_load);
+  double needed = mean_scale * std::clamp(share, 1.0, kMaxGroupBackends);
+  const bool may_wait = !rules_.near_deadline(request);
   for (const auto& [unused_rank, k] : ranked) {
     if (needed <= 0) break;
     const Backend& backend = backends_[candidates[k]];
     selected[k] = ramp_.open(backend);
     // A request may wait for a closed backend to open, but not until its time is up: then the next in rank is
     // used.
-    if (selected[k] || waits) needed -= backend.scale * ramp_.factor(backend);
+    if (selected[k] || may_wait) needed -= backend.scale * ramp_.factor(backend);
   }
   return selected;
 }
--- a/src/policy/placement/group_affinity.h
+++ b/src/policy/placement/group_affinity.h
@@ -30,12 +30,12 @@
   /// warming up gives way to the next. As many as the group's share of this balancer's connections asks for,
   /// since one connection says little of a group's size, and many balancers with wide sets would scatter it.
   /// `usual_scale`: the candidates' mean; `mean_load`: connections a backend.
-  std::vector<char> select(const Request& request, const std::vector<int>& candidates, double usual_scale,
+  std::vector<char> select(const Request& request, const std::vector<int>& candidates, double mean_scale,
                            double mean_load) const;
 
  private:
-  double ease(const Backend& backend) const;
-  double rank(const Request& request, int index, double usual_scale) const;
+  double availability(const Backend& backend) const;
+  double rank(const Request& request, int index, double mean_scale) const;
 
   const Context& context_;
   const BackendTable& backends_;
--- a/src/policy/placement/selector.cpp
+++ b/src/policy/placement/selector.cpp
@@ -9,28 +9,30 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kActiveShare = 0.25, kRecentShare = 0.25, kLatencyShare = 0.5;  // the design's blend
-constexpr double kSharpness = 6;      // a backend half as good by the blend draws 1/64 as often
+constexpr double kActiveWeight = 0.25, kRecentWeight = 0.25, kLatencyWeight = 0.5;  // the design's blend
+constexpr double kBlendExponent = 6;  // a backend half as good by the blend draws 1/64 as often
 constexpr double kMissFactor = 0.25;  // of the weight, for each miss in a row
-constexpr double kHeadroomPower = 6,
-                 kLeastHeadroom = 0.02;  // what is left of its capacity counts to this power
-constexpr double kCrossZoneCost = 8;     // crossing zones counts as latency: price x objective x this
-constexpr double kLeastSoftening = 0.1;  // ms that are added to latencies before they are compared
-constexpr double kOutsideSample =
-    0.0005;                             // weight outside the sample: used when all inside it are in trouble
-constexpr std::size_t kExamined = 128;  // candidates a draw looks at, or twice the root of the fleet if more
+constexpr double kHeadroomExponent = 6,
+                 kMinHeadroom = 0.02;      // what is left of its capacity counts to this power
+constexpr double kCrossZoneFactor = 8;     // crossing zones counts as latency: price x objective x this
+constexpr double kMinLatencyOffset = 0.1;  // ms that are added to latencies before they are compared
+constexpr double kOutsideSampleWeight =
+    0.0005;  // weight outside the sample: used when all inside it are in trouble
+constexpr std::size_t kMinExaminedCandidates =
+    128;  // candidates a draw looks at, or twice the root of the fleet if more
 
 }  // namespace
 
 struct Selector::Totals {
   std::vector<double> recent;  // connections, of each candidate
-  double count = 0, scales = 0, loads = 0, recents = 0;
-  double mean_latency = 0, best_latency = 1e18, softening = 0;
+  double count = 0, total_scale = 0, total_load = 0, total_recent = 0;
+  double mean_latency = 0, best_latency = 1e18, latency_offset = 0;
 };
 
 int Selector::pick(const Request& request) {
   std::vector<int>& sampled = backends_.sampled();
-  std::size_t examined = std::max(kExamined, 2 * static_cast<std::size_t>(std::sqrt(sampled.size())));
+  std::size_t examined =
+      std::max(kMinExaminedCandidates, 2 * static_cast<std::size_t>(std::sqrt(sampled.size())));
   if (sampled.size() > examined && request.group == 0) {
     for (std::size_t k = 0; k < examined; ++k)
       std::swap(sampled[k], sampled[k + context_.random.bits() % (sampled.size() - k)]);
@@ -51,11 +53,11 @@
     any_sampled |= backends_[index].sampled;
   }
   if (!any_up)  // round robin, as without health checks
-    return whole_fleet ? candidates[next_in_turn_++ % candidates.size()] : kNoBackend;
+    return whole_fleet ? candidates[round_robin_next_++ % candidates.size()] : kNoBackend;
 
   const Totals totals = totals_of(candidates, any_sampled);
-  const std::vector<char> selected =
-      affinity_.select(request, candidates, totals.scales / totals.count, totals.loads / totals.count);
+  const std::vector<char> selected = affinity_.select(request, candidates, totals.total_scale / totals.count,
+                                                      totals.total_load / totals.count);
   std::vector<double> weights(candidates.size());
   double total = 0;
   for (std::size_t k = 0; k < candidates.size(); ++k) {
@@ -69,47 +71,50 @@
 Selector::Totals Selector::totals_of(const std::vector<int>& candidates, bool any_sampled) const {
   Totals totals;
   totals.recent.resize(candidates.size());
-  double latencies = 0, timed = 0;
+  double total_latency = 0, measured = 0;
   for (std::size_t k = 0; k < candidates.size(); ++k) {
     const Backend& backend = backends_[candidates[k]];
     if (backend.down || (!backend.sampled && any_sampled)) continue;
-    totals.recent[k] = backend.recent.at(context_.now, kRecentMemory);
+    totals.recent[k] = backend.recent.at(context_.now, kRecentDecayTime);
     totals.count += 1;
-    totals.scales += backend.scale;
-    totals.loads += backend.load;
-    totals.recents += totals.recent[k];
+    totals.total_scale += backend.scale;
+    totals.total_load += backend.load;
+    totals.total_recent += totals.recent[k];
     if (backend.latency <= 0) continue;
-    latencies += backend.latency;
-    timed += 1;
+    total_latency += backend.latency;
+    measured += 1;
     totals.best_latency = std::min(totals.best_latency, backend.latency);
   }
-  if (timed == 0) totals.best_latency = 0;
-  totals.mean_latency = timed > 0 ? latencies / timed : 0;
-  totals.softening = std::max(kLeastSoftening, totals.mean_latency / 2);
+  if (measured == 0) totals.best_latency = 0;
+  totals.mean_latency = measured > 0 ? total_latency / measured : 0;
+  totals.latency_offset = std::max(kMinLatencyOffset, totals.mean_latency / 2);
   return totals;
 }
 
 double Selector::weight(const Request& request, int index, double recent, const Totals& totals) const {
   const Backend& backend = backends_[index];
   const Settings& settings = context_.settings;
-  const double warm = ramp_.factor(backend);
+  const double capacity_factor = ramp_.factor(backend);
 
   // A candidate's share of the connections if they were spread by size, as a count to compare with.
-  double size = backend.scale / totals.scales;
-  double few_active = 1 / (1 + backend.load / (size * totals.count) / (1 + totals.loads / totals.count));
-  double few_recent = 1 / (1 + recent / (size * totals.count) / (1 + totals.recents / totals.count));
-  if (warm < 1) few_active = few_recent = 0.5;  // low counts while it warms up must not pull crowds
-
-  double crossing = kCrossZoneCost * settings.price_cross_zone * delays_.shortest_objective_ms();
+  double scale_share = backend.scale / totals.total_scale;
+  double active_score =
+      1 / (1 + backend.load / (scale_share * totals.count) / (1 + totals.total_load / totals.count));
+  double recent_score =
+      1 / (1 + recent / (scale_share * totals.count) / (1 + totals.total_recent / totals.count));
+  if (capacity_factor < 1)
+    active_score = recent_score = 0.5;  // low counts while it warms up must not pull crowds
+
+  double crossing_cost = kCrossZoneFactor * settings.price_cross_zone * delays_.shortest_objective_ms();
   double latency = (backend.latency > 0 ? backend.latency : totals.mean_latency) + delays_.delay(backend) +
-                   (backend.zone == settings.zone ? 0 : crossing);
-  double quick = (totals.best_latency + totals.softening) / (latency + totals.softening);
-
-  double blend = kActiveShare * few_active + kRecentShare * few_recent + kLatencyShare * quick;
-  double weight = backend.scale * std::pow(blend, kSharpness) * std::pow(kMissFactor, backend.misses);
-  weight *= std::pow(std::clamp(1 - backend.utilization, kLeastHeadroom, 1.0), kHeadroomPower);
-  weight *= ramp_.open(backend) ? warm : 0;
-  if (!backend.sampled) weight *= kOutsideSample;
+                   (backend.zone == settings.zone ? 0 : crossing_cost);
+  double latency_score = (totals.best_latency + totals.latency_offset) / (latency + totals.latency_offset);
+
+  double blend = kActiveWeight * active_score + kRecentWeight * recent_score + kLatencyWeight * latency_score;
+  double weight = backend.scale * std::pow(blend, kBlendExponent) * std::pow(kMissFactor, backend.misses);
+  weight *= std::pow(std::clamp(1 - backend.utilization, kMinHeadroom, 1.0), kHeadroomExponent);
+  weight *= ramp_.open(backend) ? capacity_factor : 0;
+  if (!backend.sampled) weight *= kOutsideSampleWeight;
   if (request.has_tried(index)) weight *= kTriedWeight;
   return weight;
 }
--- a/src/policy/placement/selector.h
+++ b/src/policy/placement/selector.h
@@ -29,7 +29,7 @@
   int pick(const Request& request);
 
   /// How long a connection counts as new at its backend.
-  static constexpr Time kRecentMemory = 10 * kSecond;
+  static constexpr Time kRecentDecayTime = 10 * kSecond;
 
  private:
   struct Totals;  // over the candidates
@@ -45,7 +45,7 @@
   const SlowStartRamp& ramp_;
   const RetryRules& rules_;
   const GroupAffinity& affinity_;
-  std::size_t next_in_turn_ = 0;  // of the round robin
+  std::size_t round_robin_next_ = 0;  // of the round robin
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -19,7 +19,7 @@
   double uniform() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
 
   /// Evenly from 0 to `most`.
-  Time up_to(Time most) { return static_cast<Time>(uniform() * static_cast<double>(most)); }
+  Time up_to(Time max) { return static_cast<Time>(uniform() * static_cast<double>(max)); }
 
   /// Evenly from three quarters to five quarters of `mean`, so that balancers do not act in step.
   Time jittered(Time mean) { return 3 * mean / 4 + up_to(mean / 2); }
--- a/src/policy/requests/admission.h
+++ b/src/policy/requests/admission.h
@@ -29,10 +29,10 @@
   void update();
 
   /// The part of the new connections that is admitted, 0.05 to 1.
-  double admitted_part() const { return admitted_part_; }
+  double admitted_fraction() const { return admitted_fraction_; }
 
   /// What a usual connection of each balancer adds to the load of a backend of scale 1.
-  double load_of_one() const { return load_of_one_; }
+  double connection_load() const { return connection_load_; }
 
   /// Whether messages at the backend have lately taken longer than their objective.
   bool late(const Backend& backend) const;
@@ -41,8 +41,8 @@
   const Context& context_;
   const BackendTable& backends_;
   const DelaySignals& delays_;
-  double admitted_part_ = 1;
-  double load_of_one_ = 0;
+  double admitted_fraction_ = 1;
+  double connection_load_ = 0;
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -8,15 +8,17 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kUsualLoadRate = 0.02;  // weight of a new load in the mean
+constexpr double kMeanLoadSmoothing = 0.02;  // weight of a new load in the mean
 // Load reports that a request waits for at most, each so long, where the last is older than that.
-constexpr int kMostReportWaits = 2;
-constexpr Time kReportWait = 30 * kMillisecond;
-constexpr Time kFreshReport = 2 * kSecond;
-constexpr Time kFreshReportWarming = 300 * kMillisecond;  // of a backend that warms up: others send there too
-constexpr double kMostSentMeanwhile =
-    3;                             // connections that others send to a backend between two reports of it
-constexpr double kResetDelay = 2;  // objectives that a message is taken to need where a connection was reset
+constexpr int kMaxReportWaits = 2;
+constexpr Time kReportWaitTime = 30 * kMillisecond;
+constexpr Time kMaxReportAge = 2 * kSecond;
+constexpr Time kMaxReportAgeWarming =
+    300 * kMillisecond;  // of a backend that warms up: others send there too
+constexpr double kMaxSentBetweenReports =
+    3;  // connections that others send to a backend between two reports of it
+constexpr double kResetDelayObjectives =
+    2;  // objectives that a message is taken to need where a connection was reset
 
 // One that never left here, or was refused at the door, cannot have run.
 bool never_ran(Outcome outcome) {
@@ -29,49 +31,50 @@
 
 bool RequestHandler::has_class(const RequestEvent& event) const {
   return event.request_class >= 0 &&
-         event.request_class < static_cast<int>(parts_.context.settings.classes.size());
+         event.request_class < static_cast<int>(deps_.context.settings.classes.size());
 }
 
-double RequestHandler::learn_usual_load(double load) {
-  usual_load_ = usual_load_ > 0 ? usual_load_ + kUsualLoadRate * (load - usual_load_) : load;
-  return usual_load_;
+double RequestHandler::update_mean_load(double load) {
+  mean_load_ = mean_load_ > 0 ? mean_load_ + kMeanLoadSmoothing * (load - mean_load_) : load;
+  return mean_load_;
 }
 
-Request& RequestHandler::remember(const RequestEvent& event) {
-  Request& request = parts_.requests.requests[event.id];
+Request& RequestHandler::add_request(const RequestEvent& event) {
+  Request& request = deps_.requests.requests[event.id];
   request.request_class = event.request_class;
-  request.only = event.only;
-  request.deadline = parts_.context.now + event.expires_in;
-  if (parts_.context.settings.groups) request.group = event.group;
-  if (event.load_hint > 0) request.load = event.load_hint / learn_usual_load(event.load_hint);
+  request.allowed_backends = event.allowed_backends;
+  request.deadline = deps_.context.now + event.expires_in;
+  if (deps_.context.settings.groups) request.group = event.group;
+  if (event.load_hint > 0) request.load = event.load_hint / update_mean_load(event.load_hint);
   return request;
 }
 
 void RequestHandler::on(const RequestEvent& event) {
-  RequestTable& table = parts_.requests;
+  RequestTable& table = deps_.requests;
   if (table.requests.count(event.id) || !has_class(event)) return;
-  table.seen += 1;
-  table.lately.add(1, parts_.context.now, SlowStartRamp::kBurstMemory);
+  table.total_count += 1;
+  table.recent_count.add(1, deps_.context.now, SlowStartRamp::kBurstDecayTime);
   table.waiting.insert(event.id);
-  Request& request = remember(event);
-  if (parts_.context.random.uniform() < parts_.admission.admitted_part()) return place(event.id, request);
-  Time longest = parts_.context.settings.max_retry_after_us;
-  reject(event.id, request, longest / 2 + parts_.context.random.up_to(longest / 2), RejectReason::admission);
+  Request& request = add_request(event);
+  if (deps_.context.random.uniform() < deps_.admission.admitted_fraction()) return place(event.id, request);
+  Time max_retry_after = deps_.context.settings.max_retry_after_us;
+  reject(event.id, request, max_retry_after / 2 + deps_.context.random.up_to(max_retry_after / 2),
+         RejectReason::admission);
 }
 
 void RequestHandler::on(const HandoverEvent& event) {
-  int index = parts_.backends.find(event.backend);
-  if (parts_.requests.requests.count(event.request.id) || index == kNoBackend || !has_class(event.request))
+  int index = deps_.backends.find(event.backend);
+  if (deps_.requests.requests.count(event.request.id) || index == kNoBackend || !has_class(event.request))
     return;
-  Request& request = remember(event.request);
+  Request& request = add_request(event.request);
   request.attempts = 1;
   request.backend = index;
   request.in_flight = request.open = true;
-  Backend& backend = parts_.backends[index];
-  backend.add_connection(request, parts_.groups);
+  Backend& backend = deps_.backends[index];
+  backend.add_connection(request, deps_.groups);
   // Nothing is known yet of a backend that may be full already.
   if (backend.latency_samples.empty()) {
-    Time soon = parts_.context.now + parts_.context.random.up_to(kRecheckInterval);
+    Time soon = deps_.context.now + deps_.context.random.up_to(kRecheckInterval);
     backend.probe_due = std::min(backend.probe_due, soon);
   }
 }
@@ -80,27 +83,27 @@
 
 // Where probes are dear, reports are old: one is asked for anew before a request is sent there.
 bool RequestHandler::wait_for_report(Backend& backend, Request& request) {
-  const Context& context = parts_.context;
+  const Context& context = deps_.context;
   const Settings& settings = context.settings;
-  const bool warming = parts_.ramp.warming(backend);
-  Time fresh_for = warming ? kFreshReportWarming : kFreshReport;
-  if (settings.price_probe <= 0 || request.report_waits >= kMostReportWaits) return false;
+  const bool warming = deps_.ramp.warming(backend);
+  Time fresh_for = warming ? kMaxReportAgeWarming : kMaxReportAge;
+  if (settings.price_probe <= 0 || request.report_waits >= kMaxReportWaits) return false;
   if (context.now - backend.report_at < fresh_for) return false;
-  if (!settings.may_probe || (!backend.probe_in_flight && parts_.prober.budget_left() < 1)) return false;
+  if (!settings.may_probe || (!backend.probe_in_flight && deps_.prober.budget_left() < 1)) return false;
   if ((backend.down && !warming) || !settings.load_reported) return false;  // in its turn; no report comes
   request.report_waits += 1;
-  request.report_wait_until = context.now + kReportWait;
-  if (!backend.probe_in_flight) parts_.prober.probe(backend);
+  request.report_wait_until = context.now + kReportWaitTime;
+  if (!backend.probe_in_flight) deps_.prober.probe(backend);
   return true;
 }
 
 // A share of the time left for each attempt that may still be made, but at least the latency objective, and
 // all of it where no further attempt could come of the rest.
-Time RequestHandler::share_of(const Request& request, Time left) const {
-  int attempts_left = parts_.context.settings.max_attempts - request.attempts;
-  Time objective = parts_.rules.class_of(request).slo_us;
+Time RequestHandler::attempt_time_share(const Request& request, Time left) const {
+  int attempts_left = deps_.context.settings.max_attempts - request.attempts;
+  Time objective = deps_.rules.class_of(request).slo_us;
   Time share = std::min(left, std::max(objective, left / attempts_left));
-  if (attempts_left == 1 || left - share < parts_.context.settings.connect_timeout_us) return left;
+  if (attempts_left == 1 || left - share < deps_.context.settings.connect_timeout_us) return left;
   return share;
 }
 
@@ -109,40 +112,40 @@
 // its turn and begun anew at the end of the queue. Waiting for the turn bounds the load at one attempt a
 // request.
 Time RequestHandler::attempt_timeout(const Request& request, Time left, const SetupLimiter& limiter) const {
-  bool jammed = parts_.rules.class_of(request).stream && limiter.jam_suspected();
-  return jammed ? left : share_of(request, left);
+  bool congested = deps_.rules.class_of(request).stream && limiter.congestion_suspected();
+  return congested ? left : attempt_time_share(request, left);
 }
 
 // The next attempt, if one may be made and can still succeed; else the request is held or answered.
 void RequestHandler::place(std::uint64_t id, Request& request) {
   Time left =
-      request.deadline - parts_.context.now - kSweepInterval;  // the last answer goes out well before that
-  bool attempts_left = request.attempts < parts_.context.settings.max_attempts;
-  if (left <= 0 || !attempts_left || !parts_.rules.repeatable(request)) return finish(id, request);
-  Time objective = parts_.rules.class_of(request).slo_us;
+      request.deadline - deps_.context.now - kSweepInterval;  // the last answer goes out well before that
+  bool attempts_left = request.attempts < deps_.context.settings.max_attempts;
+  if (left <= 0 || !attempts_left || !deps_.rules.repeatable(request)) return reject_or_fail(id, request);
+  Time objective = deps_.rules.class_of(request).slo_us;
   SetupLimiter& limiter = limiter_of(request);
-  if (limiter.at_limit(parts_.context.now, objective)) return;  // held: the sweep tries again
-  int index = parts_.selector.pick(request);
+  if (limiter.at_limit(deps_.context.now, objective)) return;  // held: the sweep tries again
+  int index = deps_.selector.pick(request);
   if (index == kNoBackend) return;
-  if (wait_for_report(parts_.backends[index], request)) return;
-  request.share = share_of(request, left);
+  if (wait_for_report(deps_.backends[index], request)) return;
+  request.time_share = attempt_time_share(request, left);
   begin_attempt(id, request, index, attempt_timeout(request, left, limiter), limiter);
 }
 
 // Until the next report; of many balancers few send to the same backend meanwhile.
 void RequestHandler::anticipate_load(Backend& backend, const Request& request) const {
-  if (backend.report_at < parts_.context.started_at) return;
-  double senders = std::min(0.5 * parts_.context.settings.balancers, kMostSentMeanwhile);
-  backend.utilization += senders * request.load * parts_.admission.load_of_one() / backend.scale;
+  if (backend.report_at < deps_.context.started_at) return;
+  double senders = std::min(0.5 * deps_.context.settings.balancers, kMaxSentBetweenReports);
+  backend.utilization += senders * request.load * deps_.admission.connection_load() / backend.scale;
 }
 
 void RequestHandler::begin_attempt(std::uint64_t id, Request& request, int index, Time timeout,
                                    SetupLimiter& limiter) {
-  const Time now = parts_.context.now;
-  const bool stream = parts_.rules.class_of(request).stream;
-  Backend& backend = parts_.backends[index];
+  const Time now = deps_.context.now;
+  const bool stream = deps_.rules.class_of(request).stream;
+  Backend& backend = deps_.backends[index];
   anticipate_load(backend, request);
-  backend.recent.add(request.load, now, Selector::kRecentMemory);
+  backend.recent.add(request.load, now, Selector::kRecentDecayTime);
   backend.open_in_sweep = false;
   request.attempts += 1;
   request.backend = index;
@@ -150,54 +153,54 @@
   if (stream) limiter.begin();
   request.sent_at = now;
   request.tried.push_back(index);
-  parts_.context.emit(Submit{id, backend.address, now + timeout});
-  if (!stream) backend.add_connection(request, parts_.groups);  // no word comes when it is accepted
+  deps_.context.emit(Submit{id, backend.address, now + timeout});
+  if (!stream) backend.add_connection(request, deps_.groups);  // no word comes when it is accepted
 }
 
 // ---- Answers
 
 // The one final answer. A rejection promises that nothing ran twice if the client tries again.
-void RequestHandler::finish(std::uint64_t id, Request& request) {
-  if (parts_.rules.harmless_to_repeat(request)) {
-    Time longest = parts_.context.settings.max_retry_after_us;
+void RequestHandler::reject_or_fail(std::uint64_t id, Request& request) {
+  if (deps_.rules.harmless_to_repeat(request)) {
+    Time max_retry_after = deps_.context.settings.max_retry_after_us;
     RejectReason reason = request.attempts == 0 ? RejectReason::expired : RejectReason::attempts_failed;
-    return reject(id, request, parts_.context.random.up_to(longest / 4), reason);
+    return reject(id, request, deps_.context.random.up_to(max_retry_after / 4), reason);
   }
-  parts_.context.emit(Fail{id});
-  end(id, request);
+  deps_.context.emit(Fail{id});
+  end_request(id, request);
 }
 
 void RequestHandler::reject(std::uint64_t id, Request& request, Time retry_after, RejectReason reason) {
-  parts_.context.emit(Reject{id, parts_.context.settings.may_send_retry_after ? retry_after : 0, reason});
-  end(id, request);
+  deps_.context.emit(Reject{id, deps_.context.settings.may_send_retry_after ? retry_after : 0, reason});
+  end_request(id, request);
 }
 
-void RequestHandler::end(std::uint64_t id, Request& request) {
+void RequestHandler::end_request(std::uint64_t id, Request& request) {
   request.answered = true;
-  if (!request.in_flight) parts_.requests.requests.erase(id);
+  if (!request.in_flight) deps_.requests.requests.erase(id);
 }
 
 // ---- What comes of an attempt
 
 void RequestHandler::on(const EstablishedEvent& event) {
-  Request* request = parts_.requests.find_in_flight(event.id, event.attempt);
+  Request* request = deps_.requests.find_in_flight(event.id, event.attempt);
   if (!request || request->open) return;
   request->open = true;
-  bool promptly = parts_.context.now - request->sent_at <= request->share;
+  bool promptly = deps_.context.now - request->sent_at <= request->time_share;
   limiter_of(*request).succeed(promptly);
-  if (!request->counted) parts_.backends[request->backend].add_connection(*request, parts_.groups);
+  if (!request->counted) deps_.backends[request->backend].add_connection(*request, deps_.groups);
 }
 
 void RequestHandler::on(const ResultEvent& event) {
-  Request* request = parts_.requests.find_in_flight(event.id, event.attempt);
+  Request* request = deps_.requests.find_in_flight(event.id, event.attempt);
   if (!request) return;
-  Backend& backend = parts_.backends[request->backend];
+  Backend& backend = deps_.backends[request->backend];
   request->in_flight = false;
   if (!request->open) end_setup(*request);
-  backend.remove_connection(*request, parts_.groups);
-  judge(backend, event, *request);
+  backend.remove_connection(*request, deps_.groups);
+  apply_result(backend, event, *request);
   if (event.terminal || request->answered || request->open) {
-    parts_.requests.requests.erase(event.id);
+    deps_.requests.requests.erase(event.id);
     return;
   }
   if (!never_ran(event.outcome) && request->may_have_run_at < 0) {
@@ -209,53 +212,53 @@
 
 void RequestHandler::end_setup(const Request& request) {
   SetupLimiter& limiter = limiter_of(request);
-  if (parts_.rules.class_of(request).stream) limiter.end();
+  if (deps_.rules.class_of(request).stream) limiter.end();
 }
 
 // One that failed while being set up may have met a jam of all: fewer are in flight at once until some
 // succeed.
-void RequestHandler::judge(Backend& backend, const ResultEvent& event, const Request& request) {
-  const DelaySignals& delays = parts_.delays;
-  delays.take_report(backend, event.report);
-  if (event.outcome == Outcome::connect_failed) parts_.prober.count_miss(backend);
+void RequestHandler::apply_result(Backend& backend, const ResultEvent& event, const Request& request) {
+  const DelaySignals& delays = deps_.delays;
+  delays.apply_report(backend, event.report);
+  if (event.outcome == Outcome::connect_failed) deps_.prober.count_miss(backend);
   if (event.outcome == Outcome::reset) {
-    parts_.prober.suspect(backend);
-    delays.worsen(backend, kResetDelay * delays.shortest_objective_ms());
+    deps_.prober.schedule_recheck(backend);
+    delays.observe_at_least(backend, kResetDelayObjectives * delays.shortest_objective_ms());
   }
-  if (event.outcome == Outcome::full) delays.worsen(backend, delays.longest_ms());
+  if (event.outcome == Outcome::full) delays.observe_at_least(backend, delays.max_delay_ms());
   bool failed_in_setup =
       !request.open && (event.outcome == Outcome::error || event.outcome == Outcome::timeout);
   if (failed_in_setup)
-    limiter_of(request).fail(request.sent_at, parts_.context.now, parts_.rules.class_of(request).slo_us);
+    limiter_of(request).fail(request.sent_at, deps_.context.now, deps_.rules.class_of(request).slo_us);
 }
 
 void RequestHandler::on(const ConnectionUpdateEvent& event) {
-  Request* request = parts_.requests.find_in_flight(event.id, event.attempt);
+  Request* request = deps_.requests.find_in_flight(event.id, event.attempt);
   if (!request) return;
-  Backend& backend = parts_.backends[request->backend];
+  Backend& backend = deps_.backends[request->backend];
   if (event.kind == ConnectionUpdateKind::messages_slow) {
-    parts_.delays.observe(backend, event.value);
+    deps_.delays.observe(backend, event.value);
   } else if (event.value > 0) {
-    double load = event.value / learn_usual_load(event.value);
+    double load = event.value / update_mean_load(event.value);
     if (request->counted) backend.load = std::max(0.0, backend.load + load - request->load);
     request->load = load;
   }
 }
 
 void RequestHandler::on(const ClientGoneEvent& event) {
-  auto it = parts_.requests.requests.find(event.id);
-  if (it != parts_.requests.requests.end()) end(it->first, it->second);
+  auto it = deps_.requests.requests.find(event.id);
+  if (it != deps_.requests.requests.end()) end_request(it->first, it->second);
 }
 
 // ---- The sweep
 
-void RequestHandler::look_at_waiting() {
-  RequestTable& table = parts_.requests;
-  const Time now = parts_.context.now;
+void RequestHandler::process_waiting() {
+  RequestTable& table = deps_.requests;
+  const Time now = deps_.context.now;
   std::vector<std::uint64_t> ids(table.waiting.begin(), table.waiting.end());
   // In a jam the few attempts that are allowed go to those with the most time left: the oldest would be given
   // up before their turn, and cost as much.
-  if (limiters_.any_jam_suspected()) std::reverse(ids.begin(), ids.end());
+  if (limiters_.any_congestion_suspected()) std::reverse(ids.begin(), ids.end());
   for (std::uint64_t id : ids) {
     auto it = table.requests.find(id);
     if (it == table.requests.end() || it->second.open || it->second.answered) {
@@ -266,7 +269,7 @@
     if (!request.in_flight && now >= request.report_wait_until)
       place(id, request);
     else if (now >= request.deadline - kSweepInterval / 4)
-      finish(id, request);  // the time-out never came: the client is owed its answer all the same
+      reject_or_fail(id, request);  // the time-out never came: the client is owed its answer all the same
   }
 }
 
--- a/src/policy/requests/request_handler.h
+++ b/src/policy/requests/request_handler.h
@@ -18,7 +18,7 @@
 class RequestHandler {
  public:
   /// The parts that it asks; they outlive it.
-  struct Parts {
+  struct Dependencies {
     Context& context;
     BackendTable& backends;
     RequestTable& requests;
@@ -31,7 +31,7 @@
     Selector& selector;
   };
 
-  explicit RequestHandler(const Parts& parts) : parts_(parts) {}
+  explicit RequestHandler(const Dependencies& dependencies) : deps_(dependencies) {}
 
   void on(const RequestEvent& event);
   void on(const HandoverEvent& event);
@@ -41,34 +41,36 @@
   void on(const ClientGoneEvent& event);
 
   /// Places held requests, and answers those whose time is up; once a sweep.
-  void look_at_waiting();
+  void process_waiting();
 
   /// Forgets the setup limits of backend sets that are no longer used.
-  void forget_unused_limits() { limiters_.forget_unused(parts_.context.now); }
+  void forget_unused_limiters() { limiters_.forget_unused(deps_.context.now); }
 
  private:
   bool has_class(const RequestEvent& event) const;
-  Request& remember(const RequestEvent& event);
-  double learn_usual_load(double load);
+  Request& add_request(const RequestEvent& event);
+  double update_mean_load(double load);
 
   void place(std::uint64_t id, Request& request);
   bool wait_for_report(Backend& backend, Request& request);
-  Time share_of(const Request& request, Time left) const;
+  Time attempt_time_share(const Request& request, Time left) const;
   Time attempt_timeout(const Request& request, Time left, const SetupLimiter& limiter) const;
   void begin_attempt(std::uint64_t id, Request& request, int index, Time timeout, SetupLimiter& limiter);
   void anticipate_load(Backend& backend, const Request& request) const;
 
   void end_setup(const Request& request);
-  void judge(Backend& backend, const ResultEvent& event, const Request& request);
-  void finish(std::uint64_t id, Request& request);
+  void apply_result(Backend& backend, const ResultEvent& event, const Request& request);
+  void reject_or_fail(std::uint64_t id, Request& request);
   void reject(std::uint64_t id, Request& request, Time retry_after, RejectReason reason);
-  void end(std::uint64_t id, Request& request);
+  void end_request(std::uint64_t id, Request& request);
 
-  SetupLimiter& limiter_of(const Request& request) { return limiters_.of(request.only, parts_.context.now); }
+  SetupLimiter& limiter_of(const Request& request) {
+    return limiters_.find_or_add(request.allowed_backends, deps_.context.now);
+  }
 
-  const Parts parts_;
+  const Dependencies deps_;
   SetupLimiters limiters_;
-  double usual_load_ = 0;  // mean load hinted or noted, to count connections in usual ones
+  double mean_load_ = 0;  // mean load hinted or noted, to count connections in usual ones
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/requests/retry_rules.cpp
+++ b/src/policy/requests/retry_rules.cpp
@@ -3,7 +3,7 @@
 namespace marblehub::policy {
 
 bool RetryRules::repeatable(const Request& request) const {
-  if (repeats_freely(request)) return true;
+  if (repeats_unrestricted(request)) return true;
   const RequestClass& request_class = class_of(request);
   return request_class.repeat == Repeat::keyed &&
          context_.now <= request.may_have_run_at + request_class.dedup_window_us;
@@ -11,8 +11,8 @@
 
 bool RetryRules::allowed(const Backend& backend, const Request& request) const {
   if (!backend.listed || backend.draining || !repeatable(request)) return false;
-  if (request.only && !request.only->count(backend.address)) return false;
-  if (repeats_freely(request)) return true;
+  if (request.allowed_backends && !request.allowed_backends->count(backend.address)) return false;
+  if (repeats_unrestricted(request)) return true;
   const Backend& first = backends_[request.may_have_run_on];
   switch (class_of(request).dedup_scope) {
     case DedupScope::zone:
--- a/src/policy/requests/retry_rules.h
+++ b/src/policy/requests/retry_rules.h
@@ -19,7 +19,7 @@
   bool repeatable(const Request& request) const;
 
   /// Whether no more of its time is left than one connect may take, and two sweeps.
-  bool nearly_over(const Request& request) const {
+  bool near_deadline(const Request& request) const {
     return request.deadline - context_.now <= context_.settings.connect_timeout_us + 2 * kSweepInterval;
   }
 
@@ -30,7 +30,7 @@
   bool harmless_to_repeat(const Request& request) const;
 
  private:
-  bool repeats_freely(const Request& request) const {
+  bool repeats_unrestricted(const Request& request) const {
     return request.may_have_run_at < 0 || class_of(request).repeat == Repeat::safe;
   }
 
--- a/src/policy/requests/setup_limiter.h
+++ b/src/policy/requests/setup_limiter.h
@@ -14,7 +14,9 @@
  public:
   /// Whether one more has to wait. Failures of the last `memory` count like attempts that are still in
   /// flight.
-  bool at_limit(Time now, Time memory) const { return in_progress_ + failures_.at(now, memory) >= limit_; }
+  bool at_limit(Time now, Time decay_time) const {
+    return in_progress_ + failures_.at(now, decay_time) >= limit_;
+  }
 
   void begin() { in_progress_ += 1; }
 
@@ -24,17 +26,17 @@
   /// Whether one has failed and none has come to stand promptly since: what backends share may be jammed. An
   /// attempt that is given up while the jam lasts costs the shared part as much as one that succeeds, so
   /// attempts must not be cut short to make room for more of them.
-  bool jam_suspected() const { return jam_suspected_; }
+  bool congestion_suspected() const { return congestion_suspected_; }
 
   /// One has come to stand; `promptly`: within its share of the time left.
   void succeed(bool promptly) {
-    if (promptly) jam_suspected_ = false;
+    if (promptly) congestion_suspected_ = false;
     if (2 * in_progress_ >= limit_) limit_ += 1;
     in_progress_ -= 1;
   }
 
   /// One that was sent at `sent_at` has failed. The limit is halved, once for all that were sent before that.
-  void fail(Time sent_at, Time now, Time memory);
+  void fail(Time sent_at, Time now, Time decay_time);
 
  private:
   friend class SetupLimiters;
@@ -42,25 +44,25 @@
 
   int in_progress_ = 0;
   double limit_ = kNoLimit;
-  Time limit_cut_at_ = 0;
-  bool jam_suspected_ = false;
+  Time limit_halved_at_ = 0;
+  bool congestion_suspected_ = false;
   DecayingValue failures_;
-  Time used_at_ = 0;
+  Time last_used_at_ = 0;
 };
 
 /// The limiters by the set of backends that a request may use, so that a set which answers nothing holds only
 /// its own requests back. One that is not used for a while is forgotten.
 class SetupLimiters {
  public:
-  SetupLimiter& of(const BackendSet& only, Time now) {
-    SetupLimiter& limiter = limiters_[only];
-    limiter.used_at_ = now;
+  SetupLimiter& find_or_add(const BackendSet& allowed_backends, Time now) {
+    SetupLimiter& limiter = limiters_[allowed_backends];
+    limiter.last_used_at_ = now;
     return limiter;
   }
 
   void forget_unused(Time now);
 
-  bool any_jam_suspected() const;
+  bool any_congestion_suspected() const;
 
  private:
   // By the names in it: a new list makes a new set of the same backends.
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -5,17 +5,17 @@
 namespace marblehub::policy {
 
 Time shortest_message_objective(const Settings& settings) {
-  constexpr Time where_none_is_stated = 50'000;
+  constexpr Time default_objective = 50'000;
   Time shortest = 0;
   for (const RequestClass& request_class : settings.classes) {
     Time objective = request_class.message_objective_us;
     if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
   }
-  return shortest > 0 ? shortest : where_none_is_stated;
+  return shortest > 0 ? shortest : default_objective;
 }
 
 std::optional<SettingsError> validate(const Settings& s) {
-  auto sound = [](double value) { return std::isfinite(value) && value >= 0; };
+  auto is_finite_non_negative = [](double value) { return std::isfinite(value) && value >= 0; };
   if (s.balancers < 1) return SettingsError{"balancers"};
   if (s.max_attempts < 1) return SettingsError{"limits.max_attempts"};
   if (s.max_retry_after_us < 0) return SettingsError{"limits.max_retry_after_us"};
@@ -23,8 +23,8 @@
   if (s.stop_sending_within_us < 0) return SettingsError{"invariants.stop_sending_within_us"};
   if (!(s.cold_share > 0 && s.cold_share <= 1)) return SettingsError{"invariants.cold_share"};
   if (s.warm_within_us < 0) return SettingsError{"invariants.warm_within_us"};
-  if (!sound(s.price_probe)) return SettingsError{"prices.probe"};
-  if (!sound(s.price_cross_zone)) return SettingsError{"prices.cross_zone"};
+  if (!is_finite_non_negative(s.price_probe)) return SettingsError{"prices.probe"};
+  if (!is_finite_non_negative(s.price_cross_zone)) return SettingsError{"prices.cross_zone"};
   if (s.classes.empty()) return SettingsError{"request_classes"};
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     std::string path = "request_classes." + std::to_string(i) + ".";
--- a/src/policy/slow_start/ramp.h
+++ b/src/policy/slow_start/ramp.h
@@ -29,10 +29,10 @@
   void draw_open_backends();
 
   /// How long a burst of requests is compared with the usual rate.
-  static constexpr Time kBurstMemory = 2 * kSecond;
+  static constexpr Time kBurstDecayTime = 2 * kSecond;
 
  private:
-  double open_part() const;
+  double open_probability() const;
 
   Context& context_;
   BackendTable& backends_;
--- a/src/policy/state/decaying_value.h
+++ b/src/policy/state/decaying_value.h
@@ -12,17 +12,17 @@
   double value = 0;
   Time since = 0;
 
-  double at(Time now, Time memory) const {
-    if (value == 0 || memory <= 0) return 0;
-    return value * std::exp(-static_cast<double>(now - since) / static_cast<double>(memory));
+  double at(Time now, Time decay_time) const {
+    if (value == 0 || decay_time <= 0) return 0;
+    return value * std::exp(-static_cast<double>(now - since) / static_cast<double>(decay_time));
   }
 
-  void set(double to, Time now) {
-    value = to;
+  void set(double new_value, Time now) {
+    value = new_value;
     since = now;
   }
 
-  void add(double more, Time now, Time memory) { set(at(now, memory) + more, now); }
+  void add(double amount, Time now, Time decay_time) { set(at(now, decay_time) + amount, now); }
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/state/request.h
+++ b/src/policy/state/request.h
@@ -19,13 +19,13 @@
   int request_class = 0;  // index into Settings::classes
   Time deadline = 0;
   std::uint64_t group = 0;  // of connections that share work on a backend; 0: none
-  BackendSet only;
+  BackendSet allowed_backends;
   double load = 1;  // in usual connections
 
   int attempts = 0;        // begun so far
   int backend = -1;        // of the latest attempt
   Time sent_at = 0;        // of the latest attempt
-  Time share = 0;          // of the time left that the latest attempt has where more may follow
+  Time time_share = 0;     // of the time left that the latest attempt has where more may follow
   bool in_flight = false;  // the latest attempt has no result yet
   bool counted = false;    // it is in its backend's active count
   bool open = false;       // the connection stands
--- a/src/policy/state/request_table.h
+++ b/src/policy/state/request_table.h
@@ -14,8 +14,8 @@
   std::map<std::uint64_t, Request> requests;  // by id
   std::set<std::uint64_t> waiting;            // not answered yet, and some that were since the last sweep
 
-  double seen = 0;       // since the start, those that come back too
-  DecayingValue lately;  // the same, decaying
+  double total_count = 0;      // since the start, those that come back too
+  DecayingValue recent_count;  // the same, decaying
 
   /// The request whose attempt of this number, from 0, is in flight; null: there is none.
   Request* find_in_flight(std::uint64_t id, int attempt) {
