--- a/include/marblehub/policy.h
+++ b/include/marblehub/policy.h
@@ -1,8 +1,10 @@
-/// marblehub::policy: every decision of a balancer for long-lived connections, with no I/O, clock or wire.
+/// Decision logic of a load balancer for long-lived connections: placement, retries, health checks, admission
+/// and migration.
 ///
-/// A relay makes one Balancer, hands it every event with the time at which it was seen, and carries out the
-/// actions it gets back, in order. No I/O, no clock, no thread and no global state: the same settings, seed
-/// and events always give the same actions. All times are microseconds on a clock that only advances.
+/// The caller creates one Balancer, passes it every event with the time at which the event was observed, and
+/// executes the returned actions in order. The library does no I/O, reads no clock, starts no thread and has
+/// no global state: the same settings, seed and events always produce the same actions. All times are
+/// microseconds of a monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -16,142 +18,147 @@
 
 namespace marblehub::policy {
 
-using Time = std::int64_t;  // microseconds
+/// Microseconds, a point in time or a duration.
+using Time = std::int64_t;
 
-/// A number for a name, the same at every relay and in every build (FNV-1a).
+/// FNV-1a hash of a name, identical at every balancer and in every build.
 constexpr std::uint64_t name_hash(std::string_view name) {
   std::uint64_t h = 0xcbf29ce484222325;
   for (char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3;
   return h;
 }
 
-/// The same with every bit spread over all others (the finaliser of MurmurHash3), to rank names by.
+/// Finalizer of MurmurHash3: spreads each input bit over the whole word, so that hashes of similar names can
+/// be used for ranking.
 constexpr std::uint64_t mix_bits(std::uint64_t x) {
   x ^= x >> 33, x *= 0xff51afd7ed558ccd, x ^= x >> 33, x *= 0xc4ceb9fe1a85ec53;
   return x ^ x >> 33;
 }
 
-// ---- Settings, handed in once
+// ---- Settings
 
-enum class Repeat { safe, keyed, unsafe };  // what a second effect of the same request would do
-enum class DedupScope { all, zone, cell };  // keyed only: the backends that drop each other's repeats
+/// Whether a request may be executed more than once: always, only where backends deduplicate by its key, or
+/// never.
+enum class Repeat { safe, keyed, unsafe };
 
-/// What is common to the requests of one class.
+/// The backends that deduplicate requests among each other, for Repeat::keyed.
+enum class DedupScope { all, zone, cell };
+
+/// Properties shared by the requests of one class.
 struct RequestClass {
   std::string name;
-  Time slo_us = 0;                // an answer within this earns the full worth
-  Time message_objective_us = 0;  // wanted time of a message on an open connection; 0: none stated
+  Time slo_us = 0;                // latency objective of the answer
+  Time message_objective_us = 0;  // latency objective of a message on an open connection; 0: none
   Repeat repeat = Repeat::safe;
   DedupScope dedup_scope = DedupScope::all;
-  Time dedup_window_us = 0;  // keyed: how long repeats are remembered
-  bool stream = false;       // a connection: Established arrives once it stands
+  Time dedup_window_us = 0;  // keyed: how long backends remember a request for deduplication
+  bool stream = false;       // a long-lived connection: EstablishedEvent follows once it is accepted
 };
 
-/// What a balancer is told once, for its life. Times in microseconds.
+/// Settings of a balancer, fixed for its lifetime. Times are in microseconds.
 struct Settings {
-  int balancers = 1;       // relays in this tier, this one included
-  int balancer_index = 0;  // this relay's number among them, from 0
+  int balancers = 1;       // balancers in this tier, including this one
+  int balancer_index = 0;  // index of this balancer among them, from 0
   std::string zone;
-  bool pull_endpoints = false;  // the backend list must be asked for
-  bool groups = false;          // a backend that holds any connection of a group pays for the group once
+  bool pull_endpoints = false;  // the endpoint list is requested by WatchEndpoints; otherwise it is pushed
+  bool groups = false;          // a backend pays a fixed cost for each group of which it holds a connection
   std::vector<RequestClass> classes;
 
   int max_attempts = 1;
   bool may_probe = true;
-  bool load_reported = true;  // by probes or answers; else a probe says only that a backend lives
+  bool load_reported = true;  // by probes or answers; otherwise a probe shows only that a backend is alive
   bool may_send_retry_after = true;
-  Time max_retry_after_us = 0;  // the longest pause that a client honours
+  Time max_retry_after_us = 0;  // longest delay that clients honor
   Time connect_timeout_us = 250000;
-  Time stop_sending_within_us = 0;  // of the news that a backend drains or is gone; 0: at once
+  Time stop_sending_within_us = 0;  // after a backend is listed as draining or deleted; 0: immediately
 
-  double cold_share = 1;        // a backend starts at this share of its capacity or above
-  Time warm_within_us = 0;      // and is warm no later than this
-  double price_probe = 0;       // points for one probe a request
-  double price_cross_zone = 0;  // points for every attempt crossing zones
+  double cold_share = 1;        // lower bound of a backend's capacity at its start, as a fraction
+  Time warm_within_us = 0;      // upper bound of the time to full capacity
+  double price_probe = 0;       // cost of one probe per request, in points
+  double price_cross_zone = 0;  // cost of an attempt that crosses zones, in points
 };
 
-/// The shortest latency objective of the messages on any connection; 50 ms where no class states one.
+/// Shortest message latency objective of all classes; 50 ms if no class has one.
 Time shortest_message_objective(const Settings& settings);
 
-/// A missing or impossible figure of the settings, by the key that the simulator's and the platform's pages
-/// give it.
+/// A missing or invalid value, identified by its key in the settings file.
 struct SettingsError {
   std::string key;
 };
 
-/// The first one found; none when all is well.
+/// Returns the first invalid value, or nothing if the settings are valid.
 std::optional<SettingsError> validate(const Settings& settings);
 
 // ---- Events
 
-/// How the endpoint list has a backend.
+/// State of a backend in the endpoint list.
 enum class Health { serving, draining, deleted };
 
-/// A backend, as the endpoint list has it.
+/// A backend in the endpoint list.
 struct BackendEntry {
   Health health = Health::serving;
   std::string address;
   std::string zone;
-  Time start_time = 0;  // of its latest start; 0: long ago
-  double scale = 1;     // size, for comparison with other backends
-  std::int64_t cell = -1;
+  Time start_time = 0;     // of the latest process start; 0: long ago
+  double scale = 1;        // capacity relative to other backends
+  std::int64_t cell = -1;  // deduplication cell; -1: none
 };
 
-/// What a list is: changes since the one before, all there are, what was remembered from before the start, or
-/// the news that the call for it has failed.
+/// What an endpoint list event carries: the changes since the previous list, the full list, the list cached
+/// before the start, or the failure of a request for the list.
 enum class EndpointListKind { changes, full, cached, failed };
 
-/// The endpoint list, or a change of it.
+/// The endpoint list, a change of it, or a failed request for it.
 struct EndpointListEvent {
   EndpointListKind kind = EndpointListKind::full;
-  std::shared_ptr<const std::vector<BackendEntry>> entries;  // none when refused
+  std::shared_ptr<const std::vector<BackendEntry>> entries;  // null if the request failed
 };
 
-/// A client asks for a connection.
+/// A client requests a connection.
 struct RequestEvent {
   std::uint64_t id = 0;
   int request_class = 0;    // index into Settings::classes
-  Time expires_in = 0;      // until the client gives this try up
-  double load_hint = 0;     // work a second that it will ask for; 0: unknown
-  bool returned = false;    // the client comes back after a break or a move
+  Time expires_in = 0;      // time until the client gives up
+  double load_hint = 0;     // expected load, in microseconds of work per second; 0: unknown
+  bool returned = false;    // the client reconnects after a lost connection or a move
   std::uint64_t group = 0;  // of connections that share work on a backend; 0: none
-  std::shared_ptr<const std::set<std::string>> allowed_backends =
-      nullptr;  // the backends it may use; none: any
+  // Addresses of the backends that it may use; null: any.
+  std::shared_ptr<const std::set<std::string>> allowed_backends = nullptr;
 };
 
-/// A connection that is open already at the start: attempt 0 stands at the backend.
+/// A connection that is already open when the balancer starts; its attempt number is 0.
 struct HandoverEvent {
   RequestEvent request;
   std::string backend;
 };
 
-/// An attempt has been accepted: its connection stands.
+/// An attempt was accepted and its connection is open.
 struct EstablishedEvent {
   std::uint64_t id = 0;
   int attempt = 0;
   Time rtt = 0;
 };
 
-/// How an attempt or a probe has ended.
+/// How an attempt or a probe ended.
 enum class Outcome { served, error, full, timeout, connect_failed, reset, cancelled, not_sent };
 
-/// What a backend says of its load.
+/// Load reported by a backend.
 struct LoadReport {
-  double load = -1;  // load asked over what the backend can do; negative: not reported
+  double load = -1;  // requested work divided by capacity; negative: not reported
 };
 
-/// An attempt, or the connection that came of it, is over.
+/// An attempt, or the connection it opened, has ended.
 struct ResultEvent {
   std::uint64_t id = 0;
   int attempt = 0;
-  bool terminal = false;  // the request has ended
+  bool terminal = false;  // the request has ended, no further attempt may follow
   std::string backend;
   Time rtt = 0;
   Outcome outcome = Outcome::served;
   LoadReport report;
 };
 
-/// A probe has been answered, or is over without an answer.
+/// A probe was answered or has failed.
 struct ProbeResultEvent {
   std::string backend;
   Time rtt = 0;
@@ -159,23 +166,23 @@
   LoadReport report;
 };
 
-/// What a note tells of.
+/// What a connection update reports.
 enum class ConnectionUpdateKind { load_changed, messages_slow };
 
-/// News of a standing connection.
+/// A change observed on an open connection.
 struct ConnectionUpdateEvent {
   std::uint64_t id = 0;
   int attempt = 0;
   ConnectionUpdateKind kind = ConnectionUpdateKind::load_changed;
-  double value = 0;  // load_changed: work a second in microseconds; messages_slow: milliseconds a message
+  double value = 0;  // load_changed: microseconds of work per second; messages_slow: ms per message
 };
 
-/// A timer that the policy has set is due.
+/// A timer set by SetTimer has expired.
 struct TimerEvent {
   std::uint64_t cookie = 0;
 };
 
-/// A client has left before it was answered.
+/// A client disconnected before its request was answered.
 struct ClientGoneEvent {
   std::uint64_t id = 0;
 };
@@ -185,41 +192,41 @@
 
 // ---- Actions
 
-/// Begin an attempt; it is given up at not_past.
+/// Start an attempt at the backend and abort it at the deadline.
 struct Submit {
   std::uint64_t id = 0;
   std::string backend;
   Time deadline = 0;
 };
-/// Why a request is rejected: the fleet is full; its time was up before any attempt could be made; or the
-/// attempts that it had have failed.
+/// Why a request is rejected: the fleet is at capacity, no attempt could be made before the deadline, or the
+/// attempts failed.
 enum class RejectReason { admission, expired, attempts_failed };
-/// Final answer: rejected, trying again is harmless. retry_after 0: no hint.
+/// Final answer: the request is rejected and may be retried safely. retry_after 0: no hint.
 struct Reject {
   std::uint64_t id = 0;
   Time retry_after = 0;
   RejectReason reason = RejectReason::attempts_failed;
 };
-/// Final answer: failed, promising nothing.
+/// Final answer: the request failed; retrying it may execute it a second time.
 struct Fail {
   std::uint64_t id = 0;
 };
-/// What is wrong with the backend that a connection leaves.
+/// Why a connection has to leave its backend.
 enum class RedirectReason { draining, down, overwhelmed, late };
-/// End an open connection politely; its client comes back. The figures are what is known of its backend.
+/// Ask the client of an open connection to reconnect. The values describe the current backend.
 struct Redirect {
   std::uint64_t id = 0;
   RedirectReason reason = RedirectReason::draining;
-  double delay_ms = 0;  // that a message is said to take there
-  double load = 0;      // asked over what it can do
+  double delay_ms = 0;  // estimated delay of a message there
+  double load = 0;      // requested work divided by capacity
 };
-/// Send a health check.
+/// Send a health check to the backend.
 struct Probe {
   std::string backend;
 };
-/// Ask service discovery for changes from now on.
+/// Request the endpoint list and its further changes from service discovery.
 struct WatchEndpoints {};
-/// Send a TimerEvent with this cookie after so long.
+/// Deliver a TimerEvent with this cookie after the given time.
 struct SetTimer {
   Time after = 0;
   std::uint64_t cookie = 0;
@@ -229,32 +236,32 @@
 
 // ---- The balancer
 
-/// Every decision of one balancer. Movable, not copyable; not safe for use by several threads at once.
+/// The decision logic of one balancer. Movable, not copyable, not thread-safe.
 class Balancer {
  public:
-  /// `settings` must be valid (see validate); `seed` fixes all chance; `now` is the time of the start.
+  /// `settings` must pass validate(). `seed` initializes the random generator. `now` is the start time.
   Balancer(Settings settings, std::uint64_t seed, Time now);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  /// Appends what to do about the event. Events on unknown or ended requests and backends change nothing.
+  /// Handles an event and appends the resulting actions. Events for unknown or ended requests, and for
+  /// unknown backends, are ignored. `now` must not be less than in the previous call.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  /// From now on the fleet's budgets are shared by so many relays, 1 at least, in place of
-  /// Settings::balancers: where relays know of each other how many are there. Probes earned until then are
-  /// kept.
+  /// Replaces Settings::balancers, the number of balancers that share the fleet's budgets, when the tier
+  /// grows or shrinks. `balancers` must be at least 1. The probe budget accumulated so far is kept.
   void set_balancer_count(int balancers);
 
-  /// What the bookkeeping holds, for a relay's own metrics and for tests.
+  /// Current state counts, for metrics and tests.
   struct Counts {
-    std::size_t unanswered = 0;  // requests still owed a final answer
-    std::size_t open = 0;        // connections that stand
-    std::size_t down = 0;        // listed backends marked down
+    std::size_t unanswered = 0;  // requests without a final answer
+    std::size_t open = 0;        // open connections
+    std::size_t down = 0;        // listed backends that are marked down
   };
-  Counts counts() const;                                     // walks all requests
-  std::vector<std::string> down_backends() const;            // listed backends marked down
-  int active_connections(const std::string& backend) const;  // connections counted there
+  Counts counts() const;                                     // O(requests)
+  std::vector<std::string> down_backends() const;            // listed backends that are marked down
+  int active_connections(const std::string& backend) const;  // open connections; 0 for an unknown backend
 
  private:
   struct Impl;
