--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,4 +1,4 @@
-// Puts the parts of the policy together and hands each event to the part that it concerns.
+// Composes the components of the policy and dispatches each event to the component that handles it.
 #include <memory>
 #include <utility>
 #include <variant>
@@ -20,9 +20,10 @@
 
 namespace marblehub::policy {
 
+/// Owns all components. They hold references to each other, so it is neither copied nor moved.
 struct Balancer::Impl {
   Impl(Settings settings, std::uint64_t seed, Time now) : context(std::move(settings), seed, now) {}
-  Impl(const Impl&) = delete;  // the parts refer to each other
+  Impl(const Impl&) = delete;
   Impl& operator=(const Impl&) = delete;
 
   void on(const EndpointListEvent& event) { endpoints.on(event); }
@@ -57,7 +58,7 @@
 };
 
 void Balancer::Impl::on(const TimerEvent&) {
-  if (context.now < sweep_due) return;  // not our timer
+  if (context.now < sweep_due) return;  // not the timer of the sweep
   sweep();
   schedule_sweep(kSweepInterval);
 }
@@ -87,7 +88,7 @@
   Impl& self = *impl_;
   self.context.now = now;
   self.context.actions = &actions;
-  // Balancers start in step: their first sweeps are spread.
+  // Balancers may start simultaneously, so the time of the first sweep is random.
   if (self.sweep_due == Impl::kNotScheduled)
     self.schedule_sweep(1 + self.context.random.up_to(kSweepInterval));
   std::visit([&self](const auto& kind) { self.on(kind); }, event);
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -1,5 +1,4 @@
-/// What all parts of the policy share: settings, the time of the event in hand, chance, and the actions it
-/// leads to.
+/// State shared by all components of the policy.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +11,13 @@
 
 namespace marblehub::policy {
 
+/// Settings, random generator, time of the current event and the list that receives its actions. Owned by the
+/// Balancer.
 struct Context {
   Context(Settings initial_settings, std::uint64_t seed, Time start)
       : settings(std::move(initial_settings)), random(seed), now(start), started_at(start) {}
 
-  /// Appends an action. Only while an event is handled.
+  /// Appends an action. May be called only while an event is being handled.
   template <class Kind>
   void emit(Kind action) {
     actions->emplace_back(std::in_place_type<Kind>, std::move(action));
@@ -28,7 +29,7 @@
   RandomSource random;
   Time now;
   const Time started_at;
-  std::vector<Action>* actions = nullptr;  // of the event in hand; the caller's
+  std::vector<Action>* actions = nullptr;  // of the current event; owned by the caller, null between events
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/load_levels.h
+++ b/src/policy/load_levels.h
@@ -1,20 +1,20 @@
-/// Load levels that more than one part of the policy decides by. A load is what is asked of a backend over
-/// what it can do; a delay is a part of the latency objective.
+/// Thresholds used by more than one component. A load is the requested work divided by the capacity, a delay
+/// is a fraction of the latency objective.
 #pragma once
 
 namespace marblehub::policy {
 
-/// Load up to which a backend counts as having headroom.
+/// Load below which a backend has headroom.
 inline constexpr double kHeadroomLoad = 0.6;
 
-/// Part of the latency objective from which a backend counts as filling up, and its connections may migrate.
+/// Delay from which connections may migrate to other backends.
 inline constexpr double kMigrationThreshold = 0.8;
 
-/// Backends of usual size that one group's connections keep to, at most.
+/// Maximum number of backends of mean scale used by one group.
 inline constexpr double kMaxGroupBackends = 3;
 
-/// Weight of a backend that an earlier attempt of the same request was sent to: chosen where nothing else is
-/// left.
+/// Weight factor of a backend that an earlier attempt of the same request was sent to. It is chosen only if
+/// no other backend is available.
 inline constexpr double kTriedWeight = 1e-6;
 
 }  // namespace marblehub::policy
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -1,4 +1,4 @@
-/// The balancer's own random numbers: the same seed gives the same decisions.
+/// Random numbers of the balancer.
 #pragma once
 
 #include <cstdint>
@@ -8,20 +8,21 @@
 
 namespace marblehub::policy {
 
+/// A seeded generator: the same seed produces the same sequence.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  /// 64 random bits.
+  /// Returns 64 random bits.
   std::uint64_t bits() { return engine_(); }
 
-  /// Evenly from 0 to 1, 1 excluded.
+  /// Uniform in [0, 1).
   double uniform() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
 
-  /// Evenly from 0 to `most`.
+  /// Uniform between 0 and `max`.
   Time up_to(Time max) { return static_cast<Time>(uniform() * static_cast<double>(max)); }
 
-  /// Evenly from three quarters to five quarters of `mean`, so that balancers do not act in step.
+  /// Uniform between 3/4 and 5/4 of `mean`, so that balancers do not act simultaneously.
   Time jittered(Time mean) { return 3 * mean / 4 + up_to(mean / 2); }
 
  private:
--- a/src/policy/state/backend.h
+++ b/src/policy/state/backend.h
@@ -1,4 +1,4 @@
-/// What the policy remembers of one backend, and how it keeps count. No decision is taken here.
+/// State of one backend.
 #pragma once
 
 #include <algorithm>
@@ -13,41 +13,43 @@
 
 namespace marblehub::policy {
 
+/// What is known of a backend: its list entry, health checks, connections and load. It only keeps the state
+/// consistent; the other components take the decisions.
 struct Backend {
-  // ---- As the endpoint list has it.
+  // ---- From the endpoint list.
   std::string address, zone;
-  std::uint64_t hash = 0;  // of the address: the same at every balancer
-  std::int64_t cell = -1;  // of backends that drop each other's repeats; -1: none
-  double scale = 1;        // its size, for comparison with other backends
+  std::uint64_t hash = 0;  // of the address, identical at every balancer
+  std::int64_t cell = -1;  // deduplication cell; -1: none
+  double scale = 1;        // capacity relative to other backends
   bool listed = false, draining = false;
-  Time leaving_since = -1;  // when it was first listed as draining or left out; -1: it is not
-  bool sampled = false;     // in this balancer's part of a big fleet
+  Time leaving_since = -1;  // time at which it was listed as draining or removed; -1: neither
+  bool sampled = false;     // in this balancer's sample of a large fleet
 
   // ---- Slow start.
-  Time listed_start = 0;             // its latest start, as the list says
-  Time warming_since = 0;            // 0: warm for long
-  bool restart_unconfirmed = false;  // warming only because it came back from down
-  bool open_in_sweep = false;        // while it warms up: this balancer may send it a request in this sweep
+  Time listed_start = 0;             // latest process start in the endpoint list
+  Time warming_since = 0;            // start of the warm-up; 0: warm
+  bool restart_unconfirmed = false;  // the warm-up is assumed after downtime, without a listed restart
+  bool open_in_sweep = false;        // during warm-up: this balancer may send it a request in this sweep
 
   // ---- Health checks.
-  std::vector<double> latency_samples;  // of the last health checks, in ms; a ring
+  std::vector<double> latency_samples;  // round trips of the last health checks, in ms; a ring buffer
   std::size_t next_sample = 0;
-  double latency = 0;  // their mean; 0: never timed
-  int misses = 0;      // in a row
+  double latency = 0;  // mean of the samples, in ms; 0: no sample
+  int misses = 0;      // consecutive failed health checks and connects
   bool down = false;
   bool probe_in_flight = false;
   Time probe_due = 0;
 
   // ---- Load.
   int active = 0;                       // open connections
-  double load = 0;                      // their load, in usual connections
-  DecayingValue recent;                 // load of new connections sent here
-  DecayingValue observed_delay;         // ms that a message is said to take here
-  DecayingValue reported_delay;         // the same, derived from the last load report
-  Time report_at = -1'000'000'000'000;  // of the last load report; at first long ago
-  double utilization = 0;               // load over capacity: as last reported, and what was sent here since
+  double load = 0;                      // of the open connections; 1 is an average connection
+  DecayingValue recent;                 // load of the new connections sent here
+  DecayingValue observed_delay;         // ms per message, observed on connections or inferred from failures
+  DecayingValue reported_delay;         // ms per message, derived from the last load report
+  Time report_at = -1'000'000'000'000;  // time of the last load report; initially far in the past
+  double utilization = 0;  // load / capacity: last report plus the expected load of attempts since
 
-  /// Takes over what the endpoint list says now.
+  /// Copies the fields of the list entry.
   void update_from(const BackendEntry& entry) {
     zone = entry.zone;
     cell = entry.cell;
@@ -56,22 +58,23 @@
     draining = entry.health == Health::draining;
   }
 
-  /// It warms up since then; 0: it is warm. `unconfirmed`: a restart is only assumed.
+  /// Starts the warm-up at `since`; 0 marks the backend as warm. `unconfirmed`: the restart is only assumed.
   void start_warming(Time since, bool unconfirmed) {
     warming_since = since;
     open_in_sweep = false;
     restart_unconfirmed = unconfirmed;
   }
 
+  /// Marks the backend up and resets the count of misses.
   void mark_up() {
     down = false;
     misses = 0;
   }
 
-  /// Forgets what was said of its delay.
+  /// Discards the observed and the reported delay.
   void clear_delays() { observed_delay = reported_delay = DecayingValue(); }
 
-  /// Counts one more connection here.
+  /// Adds the connection of the request to the counts.
   void add_connection(Request& request, GroupConnections& groups) {
     groups.add(request.group);
     request.counted = true;
@@ -79,7 +82,7 @@
     load += request.load;
   }
 
-  /// Counts it no longer, if it was counted.
+  /// Removes the connection of the request from the counts, if it was added.
   void remove_connection(Request& request, GroupConnections& groups) {
     if (!request.counted) return;
     groups.remove(request.group);
@@ -88,7 +91,7 @@
     load = active > 0 ? std::max(0.0, load - request.load) : 0;
   }
 
-  /// Adds a health check's round trip in ms; the last `window` count.
+  /// Adds the round trip of a health check. `latency` is the mean of the last `window` samples.
   void add_latency_sample(double ms, std::size_t window) {
     if (latency_samples.size() < window) latency_samples.push_back(0);
     latency_samples[next_sample++ % window] = ms;
--- a/src/policy/state/backend_table.h
+++ b/src/policy/state/backend_table.h
@@ -1,5 +1,4 @@
-/// All backends that the endpoint list has named. It never shrinks: an index stays good for the balancer's
-/// life.
+/// All backends that have appeared in the endpoint list.
 #pragma once
 
 #include <string>
@@ -11,17 +10,21 @@
 
 namespace marblehub::policy {
 
+/// Index that stands for no backend.
 inline constexpr int kNoBackend = -1;
 
+/// Maps addresses to backends. Backends are never removed, so an index stays valid for the lifetime of the
+/// balancer.
 class BackendTable {
  public:
-  /// The backend's index, or kNoBackend.
+  /// Returns the index of the backend, or kNoBackend.
   int find(const std::string& address) const {
     auto it = index_.find(address);
     return it == index_.end() ? kNoBackend : it->second;
   }
 
-  /// The backend of that address, and whether it has just been added.
+  /// Returns the backend with this address, and whether the call has added it. The pointer is valid until the
+  /// next call.
   std::pair<Backend*, bool> find_or_add(const std::string& address) {
     auto [it, added] = index_.try_emplace(address, static_cast<int>(backends_.size()));
     if (added) {
@@ -44,7 +47,7 @@
   /// Indices of all backends.
   const std::vector<int>& all() const { return all_; }
 
-  /// Indices of the sampled backends, in any order: a draw may reorder them.
+  /// Indices of the backends in the sample. The order is unspecified, and selection may change it.
   std::vector<int>& sampled() { return sampled_; }
 
   /// Addresses of the listed backends that are marked down.
--- a/src/policy/state/decaying_value.h
+++ b/src/policy/state/decaying_value.h
@@ -1,4 +1,4 @@
-/// A figure that decays exponentially with time.
+/// A value that decays exponentially over time.
 #pragma once
 
 #include <cmath>
@@ -7,7 +7,7 @@
 
 namespace marblehub::policy {
 
-/// Decays to 1/e over the memory that each reader names, in microseconds.
+/// Decays to 1/e within the decay time, in microseconds, which the caller passes to each access.
 struct DecayingValue {
   double value = 0;
   Time since = 0;
--- a/src/policy/state/group_connections.h
+++ b/src/policy/state/group_connections.h
@@ -1,4 +1,4 @@
-/// How many open connections of each group this balancer has, over all backends.
+/// Open connections per group.
 #pragma once
 
 #include <cstdint>
@@ -6,6 +6,7 @@
 
 namespace marblehub::policy {
 
+/// Counts the open connections of each group at this balancer, over all backends.
 class GroupConnections {
  public:
   int count(std::uint64_t group) const {
--- a/src/policy/state/request.h
+++ b/src/policy/state/request.h
@@ -1,4 +1,4 @@
-/// What the policy remembers of one request, from its arrival until its connection has ended.
+/// State of one request.
 #pragma once
 
 #include <algorithm>
@@ -12,32 +12,34 @@
 
 namespace marblehub::policy {
 
-/// Names of the backends that a request may use; none: any.
+/// Addresses of the backends that a request may use; null: any.
 using BackendSet = std::shared_ptr<const std::set<std::string>>;
 
+/// A request from its arrival until its connection has ended.
 struct Request {
   int request_class = 0;  // index into Settings::classes
   Time deadline = 0;
   std::uint64_t group = 0;  // of connections that share work on a backend; 0: none
   BackendSet allowed_backends;
-  double load = 1;  // in usual connections
+  double load = 1;  // 1 is an average connection
 
-  int attempts = 0;        // begun so far
-  int backend = -1;        // of the latest attempt
-  Time sent_at = 0;        // of the latest attempt
-  Time time_share = 0;     // of the time left that the latest attempt has where more may follow
+  int attempts = 0;        // started so far
+  int backend = -1;        // index of the backend of the latest attempt
+  Time sent_at = 0;        // start of the latest attempt
+  Time time_share = 0;     // time allotted to the latest attempt if further attempts may follow
   bool in_flight = false;  // the latest attempt has no result yet
-  bool counted = false;    // it is in its backend's active count
-  bool open = false;       // the connection stands
-  bool answered = false;   // nothing more is owed or sent
+  bool counted = false;    // included in the connection count of its backend
+  bool open = false;       // the connection is established
+  bool answered = false;   // no further action is emitted for this request
 
-  Time may_have_run_at = -1;  // when the first attempt that may have run was sent; -1: none may have
-  int may_have_run_on = -1;   // and its backend
-  std::vector<int> tried;     // backends of all attempts
+  Time may_have_run_at = -1;  // start of the first attempt that may have been executed; -1: none
+  int may_have_run_on = -1;   // index of the backend of that attempt
+  std::vector<int> tried;     // indices of the backends of all attempts
 
-  int report_waits = 0;        // load reports that were asked for before it is sent
-  Time report_wait_until = 0;  // it waits for one until then
+  int report_waits = 0;        // number of load reports that it has waited for
+  Time report_wait_until = 0;  // end of the current wait for a load report
 
+  /// Whether an attempt was sent to this backend.
   bool has_tried(int backend_index) const {
     return std::find(tried.begin(), tried.end(), backend_index) != tried.end();
   }
--- a/src/policy/state/request_table.h
+++ b/src/policy/state/request_table.h
@@ -1,4 +1,4 @@
-/// The requests that are not over, and how many have come.
+/// The active requests and the arrival rate.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,15 @@
 
 namespace marblehub::policy {
 
+/// Requests until their connection ends, and the number of arrivals.
 struct RequestTable {
   std::map<std::uint64_t, Request> requests;  // by id
-  std::set<std::uint64_t> waiting;            // not answered yet, and some that were since the last sweep
+  std::set<std::uint64_t> waiting;            // ids of unanswered requests; cleaned up by the sweep
 
-  double total_count = 0;      // since the start, those that come back too
-  DecayingValue recent_count;  // the same, decaying
+  double total_count = 0;      // requests since the start, including reconnects
+  DecayingValue recent_count;  // the same, with exponential decay
 
-  /// The request whose attempt of this number, from 0, is in flight; null: there is none.
+  /// Returns the request if its attempt with this number (from 0) is in flight, otherwise null.
   Request* find_in_flight(std::uint64_t id, int attempt) {
     auto it = requests.find(id);
     if (it == requests.end()) return nullptr;
@@ -25,6 +26,7 @@
     return request.in_flight && request.attempts == attempt + 1 ? &request : nullptr;
   }
 
+  /// Counts open connections and unanswered requests; does not set Counts::down.
   Balancer::Counts counts() const {
     Balancer::Counts counts;
     for (const auto& [id, request] : requests) {
--- a/src/policy/time_units.h
+++ b/src/policy/time_units.h
@@ -1,4 +1,4 @@
-/// Units of policy::Time and the period of the policy's sweep.
+/// Units of policy::Time and the interval of the periodic sweep.
 #pragma once
 
 #include "marblehub/policy.h"
@@ -8,7 +8,7 @@
 inline constexpr Time kMillisecond = 1000;
 inline constexpr Time kSecond = 1'000'000;
 
-/// How often held requests, health checks and migrations are looked at.
+/// Interval at which waiting requests, health checks and migrations are processed.
 inline constexpr Time kSweepInterval = 50 * kMillisecond;
 
 }  // namespace marblehub::policy
