--- a/src/policy/discovery/endpoint_list.cpp
+++ b/src/policy/discovery/endpoint_list.cpp
@@ -7,10 +7,10 @@
 namespace marblehub::policy {
 namespace {
 
-// The longest backoff: service discovery that is back has to be heard within 6 s.
+// Maximum backoff: after an outage of service discovery, the list must arrive within 6 s.
 constexpr Time kMaxBackoff = 3500 * kMillisecond;
 
-// All balancers start in step: the first calls are spread over so long.
+// Balancers may start simultaneously, so their first requests are spread over this time.
 constexpr Time kFirstCallSpread = 4 * kSecond;
 
 }  // namespace
@@ -32,8 +32,7 @@
   choose_sample(context_.settings, backends_);
 }
 
-// Service discovery is one scarce service for all: each call waits longer than the one before, and not in
-// step.
+// Exponential backoff with jitter: all balancers share one discovery service.
 void EndpointList::call_failed() {
   watching_ = false;
   Time after_last_call = called_at_ + context_.random.jittered(backoff_);
@@ -47,7 +46,7 @@
   if (added) backend->probe_due = context_.now + context_.random.up_to(kRecheckInterval);
   backend->update_from(entry);
   if (entry.start_time <= backend->listed_start) return;
-  // It has restarted: what was known of the old process is void.
+  // The backend has restarted: the state of the old process is discarded.
   backend->listed_start = entry.start_time;
   backend->start_warming(entry.start_time, false);
   backend->mark_up();
--- a/src/policy/discovery/endpoint_list.h
+++ b/src/policy/discovery/endpoint_list.h
@@ -1,5 +1,4 @@
-/// Follows the endpoint list: which backends there are, which have restarted, and when to ask service
-/// discovery again.
+/// Service discovery.
 #pragma once
 
 #include "policy/context.h"
@@ -8,14 +7,16 @@
 
 namespace marblehub::policy {
 
+/// Applies endpoint list events to the backend table and requests the list where it is not pushed.
 class EndpointList {
  public:
   EndpointList(Context& context, BackendTable& backends) : context_(context), backends_(backends) {}
 
-  /// Takes a list, a change of it, or the news that the call for one has failed.
+  /// Applies a list or a change of it, or schedules the next request after a failed one.
   void on(const EndpointListEvent& event);
 
-  /// Asks for the list where it has to be asked for, no watch is open and the backoff is over.
+  /// Requests the list if it is not pushed, no watch is open and the backoff has elapsed. Called once per
+  /// sweep.
   void poll();
 
  private:
--- a/src/policy/discovery/fleet_sample.cpp
+++ b/src/policy/discovery/fleet_sample.cpp
@@ -6,10 +6,10 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kMinSampledBackends = 12;  // backends: enough to lose a third and still choose in every zone
-constexpr double kMinBalancersPerBackend = 8;  // enough that one balancer's crowd does not fill a backend
-constexpr double kGoldenRatio =
-    0.6180339887;  // as a step: any run of neighbouring balancers is spread evenly
+constexpr double kMinSampledBackends = 12;     // leaves a choice in every zone after the loss of a third
+constexpr double kMinBalancersPerBackend = 8;  // a burst at one balancer then fills no backend
+// Step between the samples of consecutive balancers: spreads any run of them evenly.
+constexpr double kGoldenRatio = 0.6180339887;
 
 std::vector<int> listed_by_zone(const BackendTable& backends) {
   std::vector<int> listed;
@@ -24,7 +24,7 @@
 }
 
 double sampled_fraction(const Settings& settings, std::size_t listed) {
-  // A group's backends are chosen from all, or each balancer would have its own.
+  // All balancers must choose the backends of a group from the same set.
   if (settings.groups) return 1;
   return std::max(kMinSampledBackends / static_cast<double>(listed),
                   kMinBalancersPerBackend / settings.balancers);
@@ -34,7 +34,7 @@
 
 void choose_sample(const Settings& settings, BackendTable& backends) {
   const std::vector<int> listed = listed_by_zone(backends);
-  const double part = sampled_fraction(settings, listed.size());
+  const double fraction = sampled_fraction(settings, listed.size());
   const double step = settings.balancer_index * kGoldenRatio;
   std::vector<int>& sampled = backends.sampled();
   sampled.clear();
@@ -43,7 +43,7 @@
     for (std::size_t i = from; i < to; ++i) {
       double position = (static_cast<double>(i - from) + 0.5) / static_cast<double>(to - from) + step;
       Backend& backend = backends[listed[i]];
-      backend.sampled = position - std::floor(position) < part;
+      backend.sampled = position - std::floor(position) < fraction;
       if (backend.sampled) sampled.push_back(listed[i]);
     }
   }
--- a/src/policy/discovery/fleet_sample.h
+++ b/src/policy/discovery/fleet_sample.h
@@ -1,4 +1,4 @@
-/// Which part of a big fleet this balancer uses.
+/// Subsetting: the part of a large fleet that this balancer uses.
 #pragma once
 
 #include "marblehub/policy.h"
@@ -6,9 +6,9 @@
 
 namespace marblehub::policy {
 
-/// Marks the backends of this balancer's sample and lists them in BackendTable::sampled. With many balancers
-/// each uses only a sample of a big fleet: the same part of every zone, and a step further than the balancer
-/// before, so that every backend is in equally many samples. Where there are groups, all listed backends are
+/// Selects the sample of this balancer: sets Backend::sampled and fills BackendTable::sampled. The sample
+/// holds the same fraction of every zone and is shifted by a fixed step per balancer, so that every backend
+/// is in about the same number of samples. With few balancers, or with groups, all listed backends are
 /// sampled.
 void choose_sample(const Settings& settings, BackendTable& backends);
 
--- a/src/policy/slow_start/factor.h
+++ b/src/policy/slow_start/factor.h
@@ -1,4 +1,4 @@
-/// The capacity of a process that warms up after its start.
+/// Capacity of a process that warms up after its start.
 #pragma once
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace marblehub::policy {
 
-/// The share of its capacity that a process surely has: linear from `cold_share` at its start to 1 after
-/// `warm_within`. `started` 0: it has been warm for long. Times in microseconds.
+/// Lower bound of the capacity, as a fraction of full capacity: rises linearly from `cold_share` at the start
+/// to 1 after `warm_within`. `started` 0: the process is warm. Times are in microseconds.
 inline double slow_start_factor(Time started, Time now, double cold_share, Time warm_within) {
   if (started == 0 || warm_within <= 0) return 1;
   double elapsed = static_cast<double>(now - started) / static_cast<double>(warm_within);
