--- a/src/policy/health/delay_signals.cpp
+++ b/src/policy/health/delay_signals.cpp
@@ -5,10 +5,11 @@
 namespace marblehub::policy {
 namespace {
 
-// A message waits 0.4 of the objective at a load of 0.85 and all of it at 0.93.
+// Queueing delay at a load, in objectives: factor * load / (1 - load). It is 0.4 at a load of 0.85 and 1 at
+// 0.93.
 constexpr double kQueueingFactor = 0.07;
-constexpr double kMinSpareCapacity = 0.05;
-// One whose report says that messages come late is checked again so soon.
+constexpr double kMinSpareCapacity = 0.05;  // lower bound of 1 - load
+// Interval of health checks of a backend whose last report implies late messages.
 constexpr Time kLateRecheckInterval = 500 * kMillisecond;
 
 }  // namespace
@@ -23,11 +24,10 @@
   const Time now = context_.now;
   backend.utilization = report.load;
   backend.report_at = now;
-  // Waiting grows as spare capacity vanishes.
   double queueing_delay =
       shortest_objective_ms_ * kQueueingFactor * report.load / std::max(kMinSpareCapacity, 1 - report.load);
   backend.reported_delay.set(capped(queueing_delay), now);
-  // On sockets no message tells of its delay; only the next report says whether migration has helped.
+  // Message delays may not be observable; then only the next report shows the effect of migration.
   if (backend.reported_delay.value >= kMigrationThreshold * shortest_objective_ms_)
     backend.probe_due = std::min(backend.probe_due, now + context_.random.jittered(kLateRecheckInterval));
 }
--- a/src/policy/health/intervals.h
+++ b/src/policy/health/intervals.h
@@ -1,11 +1,11 @@
-/// Intervals of health checks that more than one part of the policy uses.
+/// Health check intervals used by more than one component.
 #pragma once
 
 #include "policy/time_units.h"
 
 namespace marblehub::policy {
 
-/// A suspect is checked again so soon, and a new backend first.
+/// Time to the next check of a suspected backend and to the first check of a new one.
 inline constexpr Time kRecheckInterval = 200 * kMillisecond;
 
 }  // namespace marblehub::policy
--- a/src/policy/health/prober.cpp
+++ b/src/policy/health/prober.cpp
@@ -7,30 +7,30 @@
 namespace marblehub::policy {
 namespace {
 
-// The design's: a probe each five seconds, the mean of the last twenty, three misses in a row.
 constexpr Time kProbeInterval = 5 * kSecond;
-constexpr std::size_t kLatencyWindow = 20;
+constexpr std::size_t kLatencyWindow = 20;  // samples
 constexpr int kMissesUntilDown = 3;
 
 constexpr Time kMaxProbeInterval = 600 * kSecond;
-constexpr Time kBusyRateFactor = 8;  // a backend that holds our connections is probed so much oftener
-constexpr double kMaxBackendProbesPerSecond =
-    20;                                     // on one backend from all balancers: some % of a core at most
-constexpr double kFrequentProbeLoad = 0.5;  // a backend with a load above it is looked at oftener
+constexpr Time kBusyRateFactor = 8;  // rate factor for backends with connections of this balancer
+constexpr double kMaxBackendProbesPerSecond = 20;  // on one backend, from all balancers
+constexpr double kFrequentProbeLoad = 0.5;         // a backend above this load is probed more often
 
-// The budget: points that probes may cost, under half of one in a hundred.
+// Points per request that probes may cost.
 constexpr double kProbeBudget = 0.0045;
-// Requests of the fleet that count as seen at its start, and one more a second: down backends are found
-// again.
+// Requests of the fleet that are credited to the budget at the start, in addition to one per second, so that
+// recovered backends are detected without traffic.
 constexpr double kInitialRequests = 100;
+// Initial values of the request rate estimate: requests of the fleet and seconds.
 constexpr double kInitialRateRequests = 3;
 constexpr double kInitialRateSeconds = 2;
-// Probes that must be left: for any backend, for one that holds connections, and for a suspect.
+// Remaining budget required to probe a backend without connections, with connections, and with misses.
 constexpr double kIdleBackendBudget = 4, kBusyBackendBudget = 1, kSuspectBudget = -2;
 
 }  // namespace
 
-// Stretched until neither the price of a request nor the work of one backend passes its bound.
+// The interval grows with the fleet, so that both the cost of probes per request and the probe rate at each
+// backend stay below their limits.
 Time Prober::interval() const {
   const Settings& settings = context_.settings;
   double weighted_backends = 0;
@@ -76,18 +76,19 @@
 void Prober::probe_due_backends() {
   if (!context_.settings.may_probe) return;
   const Time now = context_.now;
-  const Time usual = interval();
+  const Time regular_interval = interval();
   const std::size_t count = backends_.size();
-  const std::size_t from = context_.random.bits();  // the budget must not always spare the last
+  // Starts at a random backend, so that an insufficient budget affects all equally.
+  const std::size_t from = context_.random.bits();
   for (std::size_t k = 0; k < count; ++k) {
     Backend& backend = backends_[static_cast<int>((from + k) % count)];
     if (!is_candidate(backend)) continue;
     if (backend.active > 0 || backend.down || backend.utilization > kFrequentProbeLoad)
       backend.probe_due =
-          std::min(backend.probe_due, now + context_.random.jittered(usual / kBusyRateFactor));
+          std::min(backend.probe_due, now + context_.random.jittered(regular_interval / kBusyRateFactor));
     if (now < backend.probe_due || budget_left() < required_budget(backend)) continue;
     probe(backend);
-    backend.probe_due = now + context_.random.jittered(usual);
+    backend.probe_due = now + context_.random.jittered(regular_interval);
   }
 }
 
@@ -102,11 +103,10 @@
   if (index == kNoBackend) return;
   Backend& backend = backends_[index];
   backend.probe_in_flight = false;
-  if (event.outcome == Outcome::not_sent)
-    return schedule_recheck(backend);  // it never left here: no word on the backend
+  if (event.outcome == Outcome::not_sent) return schedule_recheck(backend);  // not sent, so it is no miss
   if (event.outcome != Outcome::served) return count_miss(backend);
   if (backend.down) {
-    // What was said of it before is over; it may have restarted: the list will tell.
+    // It may have restarted, which the endpoint list will confirm; earlier delays are obsolete.
     backend.clear_delays();
     backend.start_warming(context_.now, true);
   }
--- a/src/policy/health/prober.h
+++ b/src/policy/health/prober.h
@@ -1,4 +1,4 @@
-/// Health checks: when each backend is probed, what the results say, and what probes may cost.
+/// Health checks.
 #pragma once
 
 #include "policy/context.h"
@@ -8,32 +8,33 @@
 
 namespace marblehub::policy {
 
+/// Schedules the probes of each backend within the probe budget, and marks backends down and up by the
+/// results.
 class Prober {
  public:
   Prober(Context& context, BackendTable& backends, const DelaySignals& delays, const RequestTable& requests)
       : context_(context), backends_(backends), delays_(delays), requests_(requests) {}
 
-  /// Probes the backends that are due, as far as the budget allows.
+  /// Probes the backends that are due, as far as the budget allows. Called once per sweep.
   void probe_due_backends();
 
-  /// Probes this one now.
+  /// Probes the backend immediately.
   void probe(Backend& backend);
 
-  /// Takes the result of a health check.
+  /// Applies the result of a health check.
   void on(const ProbeResultEvent& event);
 
-  /// Counts a check past its time-out or a failed connect. Three in a row mark the backend down until a check
-  /// succeeds.
+  /// Counts a failed health check or a failed connect. Three consecutive misses mark the backend down until a
+  /// check succeeds.
   void count_miss(Backend& backend);
 
-  /// Checks the backend again soon: at a stretched interval three misses would take minutes.
+  /// Schedules a check within kRecheckInterval, as the regular interval may be several minutes.
   void schedule_recheck(Backend& backend);
 
-  /// Probes that the budget has left; every probe counts, also of suspects. Negative: overdrawn.
+  /// Remaining budget in probes. Every probe is charged, including rechecks. Negative if overdrawn.
   double budget_left() const;
 
-  /// Shares the fleet's budget among so many balancers from now on. What was earned so far neither grows nor
-  /// is lost.
+  /// Changes the number of balancers that share the fleet's budget. The current remaining budget is kept.
   void share_budget_by(int balancers);
 
  private:
--- a/src/policy/migration/migration.cpp
+++ b/src/policy/migration/migration.cpp
@@ -7,12 +7,12 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr Time kLeaveDownTime = kSecond;          // a connection leaves a down backend within about so long
-constexpr Time kLeaveDrainingTime = 4 * kSecond;  // all are off a draining one by then, evenly spread
-constexpr Time kLeaveSlowTime = 5 * kSecond;      // and one whose messages are late within about so long
-constexpr Time kMaxSignalAge = 2 * kSecond;       // only newer signals move connections
-constexpr double kMaxLoadFactor = 2;     // a connection of more than so many usual ones leaves no sooner
-constexpr double kMinJudgedDelayMs = 1;  // from which a backend without connections is judged
+constexpr Time kLeaveDownTime = kSecond;          // mean time until a connection leaves a down backend
+constexpr Time kLeaveDrainingTime = 4 * kSecond;  // all connections leave a draining backend within this time
+constexpr Time kLeaveSlowTime = 5 * kSecond;      // mean time until a connection leaves a late backend
+constexpr Time kMaxSignalAge = 2 * kSecond;       // older delay signals move no connections
+constexpr double kMaxLoadFactor = 2;              // heavier connections leave at a rate up to this factor
+constexpr double kMinJudgedDelayMs = 1;           // delay from which the state of an idle backend is known
 
 }  // namespace
 
@@ -23,14 +23,14 @@
   return backend.leaving_since >= 0 || backend.down || overwhelmed(backend) || late;
 }
 
-// All leave a draining backend before it stops, at an even pace, and none where there is nowhere to go.
+// Connections leave a draining backend at an even rate, but only if another backend is usable.
 bool Migration::leaves_draining_in_sweep(const Backend& backend) {
   if (!std::any_of(backends_.begin(), backends_.end(), usable)) return false;
   Time left = backend.leaving_since + kLeaveDrainingTime - context_.now;
   return left <= kSweepInterval || context_.random.uniform() * static_cast<double>(left) < kSweepInterval;
 }
 
-// Spread in time, and not when most others are no better.
+// Departures are spread over time, and suppressed if most other backends are no better.
 bool Migration::leaves_in_sweep(const Request& request) {
   const Backend& backend = backends_[request.backend];
   if (backend.leaving_since >= 0) return leaves_draining_in_sweep(backend);
@@ -49,10 +49,11 @@
   context_.emit(Redirect{id, reason, delays_.delay(backend), backend.utilization});
 }
 
-// Whether at most half of the backends that can be judged are late or down: else migration is no help.
+// Whether at most half of the backends with a known state are late or down; otherwise migration does not
+// help.
 bool Migration::capacity_elsewhere() const {
   if (admission_.admitted_fraction() < 1) return true;
-  int unhealthy = 0, judged = 1;  // one unknown counts as good
+  int unhealthy = 0, judged = 1;  // one backend is assumed to be healthy
   for (const Backend& backend : backends_) {
     if (!backend.listed || backend.draining) continue;
     judged += backend.active > 0 || backend.down || delays_.delay(backend) >= kMinJudgedDelayMs;
--- a/src/policy/migration/migration.h
+++ b/src/policy/migration/migration.h
@@ -1,5 +1,4 @@
-/// Migration: which standing connections leave their backend, and when. One earns nothing on a backend that
-/// is down, or whose messages come later than wanted.
+/// Migration of established connections.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +12,15 @@
 
 namespace marblehub::policy {
 
+/// Redirects established connections away from backends that are draining, removed, down, overwhelmed or
+/// late.
 class Migration {
  public:
   Migration(Context& context, const BackendTable& backends, const DelaySignals& delays,
             const Admission& admission, RequestTable& requests)
       : context_(context), backends_(backends), delays_(delays), admission_(admission), requests_(requests) {}
 
-  /// Redirects the connections that leave in this sweep.
+  /// Redirects the connections that leave in this sweep. Called once per sweep.
   void redirect_leaving();
 
  private:
