--- a/src/policy/requests/admission.cpp
+++ b/src/policy/requests/admission.cpp
@@ -5,12 +5,12 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kFullLoad = 0.75;       // mean load over which fewer are admitted
-constexpr double kMaxCountedLoad = 1.5;  // a report above it counts as this
+constexpr double kFullLoad = 0.75;       // mean load above which fewer connections are admitted
+constexpr double kMaxCountedLoad = 1.5;  // upper bound of the load of one backend in the mean
 constexpr double kMinAdmittedFraction = 0.05;
-constexpr double kRecoveryPerSweep = 0.005;  // a sweep, once there is capacity again
-constexpr double kMinKnownConnections = 5;   // connections from which their mean load is known
-constexpr Time kMaxSignalAge = 5 * kSecond;  // only newer signals shed load
+constexpr double kRecoveryPerSweep = 0.005;  // increase per sweep while there is capacity
+constexpr double kMinKnownConnections = 5;   // number of connections required to estimate their load
+constexpr Time kMaxSignalAge = 5 * kSecond;  // older signals do not count
 
 }  // namespace
 
--- a/src/policy/requests/admission.h
+++ b/src/policy/requests/admission.h
@@ -1,5 +1,4 @@
-/// Admission: when the fleet as a whole is full, every further connection makes all late, so fewer are
-/// admitted.
+/// Admission control.
 #pragma once
 
 #include "policy/context.h"
@@ -8,33 +7,35 @@
 
 namespace marblehub::policy {
 
-/// Whether the backend is asked for many times what it can do. One that hangs may still answer health checks,
-/// and so is not marked down.
+/// Whether the reported load is a multiple of the capacity. A hung backend may still answer health checks and
+/// is then not marked down.
 inline bool overwhelmed(const Backend& backend) {
-  constexpr double overwhelming_load = 4;  // far over what clients ask for
+  constexpr double overwhelming_load = 4;  // far above the load in normal operation
   return backend.utilization > overwhelming_load;
 }
 
-/// Whether the backend serves, as far as is known.
+/// Whether the backend can serve requests.
 inline bool usable(const Backend& backend) {
   return backend.listed && !backend.draining && !backend.down && !overwhelmed(backend);
 }
 
+/// Admits only a fraction of the new connections while the fleet as a whole is overloaded, when each further
+/// connection would delay the messages of all.
 class Admission {
  public:
   Admission(const Context& context, const BackendTable& backends, const DelaySignals& delays)
       : context_(context), backends_(backends), delays_(delays) {}
 
-  /// Looks at the load of the usable backends; once a sweep.
+  /// Updates the admitted fraction from the load of the usable backends. Called once per sweep.
   void update();
 
-  /// The part of the new connections that is admitted, 0.05 to 1.
+  /// Fraction of the new connections to admit, from 0.05 to 1.
   double admitted_fraction() const { return admitted_fraction_; }
 
-  /// What a usual connection of each balancer adds to the load of a backend of scale 1.
+  /// Load that an average connection adds to a backend of scale 1.
   double connection_load() const { return connection_load_; }
 
-  /// Whether messages at the backend have lately taken longer than their objective.
+  /// Whether recent messages at the backend exceeded their latency objective.
   bool late(const Backend& backend) const;
 
  private:
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -8,19 +8,18 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kMeanLoadSmoothing = 0.02;  // weight of a new load in the mean
-// Load reports that a request waits for at most, each so long, where the last is older than that.
+constexpr double kMeanLoadSmoothing = 0.02;  // weight of a new value in the moving average
+// A request waits for up to kMaxReportWaits load reports if the last report is older than the maximum age.
 constexpr int kMaxReportWaits = 2;
 constexpr Time kReportWaitTime = 30 * kMillisecond;
 constexpr Time kMaxReportAge = 2 * kSecond;
-constexpr Time kMaxReportAgeWarming =
-    300 * kMillisecond;  // of a backend that warms up: others send there too
-constexpr double kMaxSentBetweenReports =
-    3;  // connections that others send to a backend between two reports of it
-constexpr double kResetDelayObjectives =
-    2;  // objectives that a message is taken to need where a connection was reset
-
-// One that never left here, or was refused at the door, cannot have run.
+constexpr Time kMaxReportAgeWarming = 300 * kMillisecond;  // of a warming backend
+// Upper bound of the connections that all balancers together send to a backend between two reports.
+constexpr double kMaxSentBetweenReports = 3;
+// Delay assumed for a backend that has reset a connection, in objectives.
+constexpr double kResetDelayObjectives = 2;
+
+// Whether the attempt cannot have been executed: it was not sent, or not accepted by the backend.
 bool never_ran(Outcome outcome) {
   return outcome == Outcome::full || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
 }
@@ -72,33 +71,33 @@
   request.in_flight = request.open = true;
   Backend& backend = deps_.backends[index];
   backend.add_connection(request, deps_.groups);
-  // Nothing is known yet of a backend that may be full already.
+  // The backend may be at capacity already, so its first check is early.
   if (backend.latency_samples.empty()) {
-    Time soon = deps_.context.now + deps_.context.random.up_to(kRecheckInterval);
-    backend.probe_due = std::min(backend.probe_due, soon);
+    Time first_check = deps_.context.now + deps_.context.random.up_to(kRecheckInterval);
+    backend.probe_due = std::min(backend.probe_due, first_check);
   }
 }
 
 // ---- Placement and retries
 
-// Where probes are dear, reports are old: one is asked for anew before a request is sent there.
+// Where probes are expensive, reports may be outdated: a new one is requested before an attempt is sent.
 bool RequestHandler::wait_for_report(Backend& backend, Request& request) {
   const Context& context = deps_.context;
   const Settings& settings = context.settings;
   const bool warming = deps_.ramp.warming(backend);
-  Time fresh_for = warming ? kMaxReportAgeWarming : kMaxReportAge;
+  Time max_age = warming ? kMaxReportAgeWarming : kMaxReportAge;
   if (settings.price_probe <= 0 || request.report_waits >= kMaxReportWaits) return false;
-  if (context.now - backend.report_at < fresh_for) return false;
+  if (context.now - backend.report_at < max_age) return false;
   if (!settings.may_probe || (!backend.probe_in_flight && deps_.prober.budget_left() < 1)) return false;
-  if ((backend.down && !warming) || !settings.load_reported) return false;  // in its turn; no report comes
+  if ((backend.down && !warming) || !settings.load_reported) return false;  // no report is expected
   request.report_waits += 1;
   request.report_wait_until = context.now + kReportWaitTime;
   if (!backend.probe_in_flight) deps_.prober.probe(backend);
   return true;
 }
 
-// A share of the time left for each attempt that may still be made, but at least the latency objective, and
-// all of it where no further attempt could come of the rest.
+// Divides the remaining time equally among the remaining attempts. An attempt gets at least the latency
+// objective, and all of the time if the rest is too short for another attempt.
 Time RequestHandler::attempt_time_share(const Request& request, Time left) const {
   int attempts_left = deps_.context.settings.max_attempts - request.attempts;
   Time objective = deps_.rules.class_of(request).slo_us;
@@ -107,24 +106,25 @@
   return share;
 }
 
-// All of the time left while a jam is suspected in what all backends share: it works off attempts in turn,
-// those that were given up too, and once its queue is longer than a share, every attempt is given up before
-// its turn and begun anew at the end of the queue. Waiting for the turn bounds the load at one attempt a
+// An attempt gets all of the remaining time while congestion of a shared resource is suspected. Its queue
+// also holds aborted attempts; once the queueing delay exceeds the time share, every attempt would be aborted
+// before it is served and requeued at the end. Without early aborts the load is limited to one attempt per
 // request.
 Time RequestHandler::attempt_timeout(const Request& request, Time left, const SetupLimiter& limiter) const {
   bool congested = deps_.rules.class_of(request).stream && limiter.congestion_suspected();
   return congested ? left : attempt_time_share(request, left);
 }
 
-// The next attempt, if one may be made and can still succeed; else the request is held or answered.
+// Starts the next attempt if one is allowed and can still succeed; otherwise the request waits or is
+// answered.
 void RequestHandler::place(std::uint64_t id, Request& request) {
-  Time left =
-      request.deadline - deps_.context.now - kSweepInterval;  // the last answer goes out well before that
+  // The margin of one sweep lets the final answer go out before the deadline.
+  Time left = request.deadline - deps_.context.now - kSweepInterval;
   bool attempts_left = request.attempts < deps_.context.settings.max_attempts;
   if (left <= 0 || !attempts_left || !deps_.rules.repeatable(request)) return reject_or_fail(id, request);
   Time objective = deps_.rules.class_of(request).slo_us;
   SetupLimiter& limiter = limiter_of(request);
-  if (limiter.at_limit(deps_.context.now, objective)) return;  // held: the sweep tries again
+  if (limiter.at_limit(deps_.context.now, objective)) return;  // waits; the sweep tries again
   int index = deps_.selector.pick(request);
   if (index == kNoBackend) return;
   if (wait_for_report(deps_.backends[index], request)) return;
@@ -132,7 +132,8 @@
   begin_attempt(id, request, index, attempt_timeout(request, left, limiter), limiter);
 }
 
-// Until the next report; of many balancers few send to the same backend meanwhile.
+// Raises the utilization by the expected load until the next report. Other balancers are assumed to send to
+// the same backend too, but only a few of them in that time.
 void RequestHandler::anticipate_load(Backend& backend, const Request& request) const {
   if (backend.report_at < deps_.context.started_at) return;
   double senders = std::min(0.5 * deps_.context.settings.balancers, kMaxSentBetweenReports);
@@ -154,12 +155,12 @@
   request.sent_at = now;
   request.tried.push_back(index);
   deps_.context.emit(Submit{id, backend.address, now + timeout});
-  if (!stream) backend.add_connection(request, deps_.groups);  // no word comes when it is accepted
+  if (!stream) backend.add_connection(request, deps_.groups);  // no EstablishedEvent follows
 }
 
 // ---- Answers
 
-// The one final answer. A rejection promises that nothing ran twice if the client tries again.
+// Sends the final answer. A rejection is sent only if a retry by the client cannot execute the request twice.
 void RequestHandler::reject_or_fail(std::uint64_t id, Request& request) {
   if (deps_.rules.harmless_to_repeat(request)) {
     Time max_retry_after = deps_.context.settings.max_retry_after_us;
@@ -180,7 +181,7 @@
   if (!request.in_flight) deps_.requests.requests.erase(id);
 }
 
-// ---- What comes of an attempt
+// ---- Attempt results
 
 void RequestHandler::on(const EstablishedEvent& event) {
   Request* request = deps_.requests.find_in_flight(event.id, event.attempt);
@@ -215,8 +216,7 @@
   if (deps_.rules.class_of(request).stream) limiter.end();
 }
 
-// One that failed while being set up may have met a jam of all: fewer are in flight at once until some
-// succeed.
+// A failure during setup may be caused by congestion shared by all backends, so it lowers the setup limit.
 void RequestHandler::apply_result(Backend& backend, const ResultEvent& event, const Request& request) {
   const DelaySignals& delays = deps_.delays;
   delays.apply_report(backend, event.report);
@@ -256,8 +256,8 @@
   RequestTable& table = deps_.requests;
   const Time now = deps_.context.now;
   std::vector<std::uint64_t> ids(table.waiting.begin(), table.waiting.end());
-  // In a jam the few attempts that are allowed go to those with the most time left: the oldest would be given
-  // up before their turn, and cost as much.
+  // During congestion the few allowed attempts go to the newest requests, which have the most time left. The
+  // oldest would probably be aborted before they are served.
   if (limiters_.any_congestion_suspected()) std::reverse(ids.begin(), ids.end());
   for (std::uint64_t id : ids) {
     auto it = table.requests.find(id);
@@ -269,7 +269,7 @@
     if (!request.in_flight && now >= request.report_wait_until)
       place(id, request);
     else if (now >= request.deadline - kSweepInterval / 4)
-      reject_or_fail(id, request);  // the time-out never came: the client is owed its answer all the same
+      reject_or_fail(id, request);  // the result of the attempt is overdue
   }
 }
 
--- a/src/policy/requests/request_handler.h
+++ b/src/policy/requests/request_handler.h
@@ -1,5 +1,4 @@
-/// The life of a request: admitted, placed, retried, answered, and counted at its backend while its
-/// connection stands.
+/// Request lifecycle.
 #pragma once
 
 #include "policy/context.h"
@@ -15,9 +14,10 @@
 
 namespace marblehub::policy {
 
+/// Admits, places, retries and answers requests, and counts each at its backend while its connection is open.
 class RequestHandler {
  public:
-  /// The parts that it asks; they outlive it.
+  /// The components that it uses; they must outlive it.
   struct Dependencies {
     Context& context;
     BackendTable& backends;
@@ -40,10 +40,10 @@
   void on(const ConnectionUpdateEvent& event);
   void on(const ClientGoneEvent& event);
 
-  /// Places held requests, and answers those whose time is up; once a sweep.
+  /// Places waiting requests and answers those past their deadline. Called once per sweep.
   void process_waiting();
 
-  /// Forgets the setup limits of backend sets that are no longer used.
+  /// Removes the setup limiters of unused backend sets. Called once per sweep.
   void forget_unused_limiters() { limiters_.forget_unused(deps_.context.now); }
 
  private:
@@ -70,7 +70,7 @@
 
   const Dependencies deps_;
   SetupLimiters limiters_;
-  double mean_load_ = 0;  // mean load hinted or noted, to count connections in usual ones
+  double mean_load_ = 0;  // moving average of hinted and updated loads; the unit of Request::load
 };
 
 }  // namespace marblehub::policy
--- a/src/policy/requests/retry_rules.h
+++ b/src/policy/requests/retry_rules.h
@@ -1,4 +1,4 @@
-/// Which further attempts a request may have: by what a second effect of it would do.
+/// Rules for retries.
 #pragma once
 
 #include "policy/context.h"
@@ -7,18 +7,21 @@
 
 namespace marblehub::policy {
 
+/// Decides which further attempts a request may have, by its Repeat and DedupScope.
 class RetryRules {
  public:
   RetryRules(const Context& context, const BackendTable& backends) : context_(context), backends_(backends) {}
 
+  /// Returns the class of the request.
   const RequestClass& class_of(const Request& request) const {
     return context_.settings.classes[static_cast<std::size_t>(request.request_class)];
   }
 
-  /// Whether a further attempt may be made at all. Once it may not it never will: it is answered at once.
+  /// Whether a further attempt is allowed at all. Once this is false it stays false, so the request can be
+  /// answered.
   bool repeatable(const Request& request) const;
 
-  /// Whether no more of its time is left than one connect may take, and two sweeps.
+  /// Whether the remaining time is at most the connect timeout and two sweeps.
   bool near_deadline(const Request& request) const {
     return request.deadline - context_.now <= context_.settings.connect_timeout_us + 2 * kSweepInterval;
   }
@@ -26,7 +29,7 @@
   /// Whether the request may be sent to this backend.
   bool allowed(const Backend& backend, const Request& request) const;
 
-  /// Whether it does no harm if the client tries again: nothing of it may run twice.
+  /// Whether the client may safely retry: no attempt may have been executed, or repeats are harmless.
   bool harmless_to_repeat(const Request& request) const;
 
  private:
--- a/src/policy/requests/setup_limiter.cpp
+++ b/src/policy/requests/setup_limiter.cpp
@@ -5,8 +5,8 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kMinLimit = 2;                // connections that may always be set up at once
-constexpr Time kMaxUnusedTime = 10 * kSecond;  // longer than a request waits
+constexpr double kMinLimit = 2;                // concurrent attempts that are always allowed
+constexpr Time kMaxUnusedTime = 10 * kSecond;  // exceeds the deadline of a request
 
 }  // namespace
 
--- a/src/policy/requests/setup_limiter.h
+++ b/src/policy/requests/setup_limiter.h
@@ -1,4 +1,4 @@
-/// Bounds the attempts that are being set up at once: a jam that all of them meet is not made worse.
+/// Limits concurrent connection setups.
 #pragma once
 
 #include <map>
@@ -9,33 +9,35 @@
 
 namespace marblehub::policy {
 
-/// The attempts that are being set up within one set of backends.
+/// Limits the attempts in setup within one set of backends. The limit is halved on failure and raised by one
+/// on success, so that retries do not amplify the congestion of a shared resource.
 class SetupLimiter {
  public:
-  /// Whether one more has to wait. Failures of the last `memory` count like attempts that are still in
-  /// flight.
+  /// Whether a further attempt has to wait. Recent failures, which decay over `decay_time`, count as attempts
+  /// in setup.
   bool at_limit(Time now, Time decay_time) const {
     return in_progress_ + failures_.at(now, decay_time) >= limit_;
   }
 
+  /// An attempt has started.
   void begin() { in_progress_ += 1; }
 
-  /// One has ended without a connection that stands.
+  /// An attempt has ended without an established connection.
   void end() { in_progress_ -= 1; }
 
-  /// Whether one has failed and none has come to stand promptly since: what backends share may be jammed. An
-  /// attempt that is given up while the jam lasts costs the shared part as much as one that succeeds, so
-  /// attempts must not be cut short to make room for more of them.
+  /// Whether an attempt has failed and none has succeeded promptly since: a resource shared by the backends
+  /// may be congested. Aborted attempts load that resource as much as successful ones, so attempts should not
+  /// be aborted early during congestion.
   bool congestion_suspected() const { return congestion_suspected_; }
 
-  /// One has come to stand; `promptly`: within its share of the time left.
+  /// An attempt has been established. `promptly`: within its Request::time_share.
   void succeed(bool promptly) {
     if (promptly) congestion_suspected_ = false;
     if (2 * in_progress_ >= limit_) limit_ += 1;
     in_progress_ -= 1;
   }
 
-  /// One that was sent at `sent_at` has failed. The limit is halved, once for all that were sent before that.
+  /// An attempt sent at `sent_at` has failed. Halves the limit, unless it was already halved after `sent_at`.
   void fail(Time sent_at, Time now, Time decay_time);
 
  private:
@@ -50,22 +52,25 @@
   Time last_used_at_ = 0;
 };
 
-/// The limiters by the set of backends that a request may use, so that a set which answers nothing holds only
-/// its own requests back. One that is not used for a while is forgotten.
+/// One limiter per set of allowed backends, so that an unresponsive set delays only its own requests. Unused
+/// limiters are removed after a while.
 class SetupLimiters {
  public:
+  /// Returns the limiter of the set. The reference is valid until forget_unused().
   SetupLimiter& find_or_add(const BackendSet& allowed_backends, Time now) {
     SetupLimiter& limiter = limiters_[allowed_backends];
     limiter.last_used_at_ = now;
     return limiter;
   }
 
+  /// Removes limiters that are idle and have not been used recently. Called once per sweep.
   void forget_unused(Time now);
 
+  /// Whether any limiter suspects congestion.
   bool any_congestion_suspected() const;
 
  private:
-  // By the names in it: a new list makes a new set of the same backends.
+  // Compares by content, since each endpoint list creates new sets of the same addresses.
   struct ByNames {
     bool operator()(const BackendSet& one, const BackendSet& other) const {
       return one && other ? *one < *other : !one && other;
