--- a/src/policy/placement/group_affinity.cpp
+++ b/src/policy/placement/group_affinity.cpp
@@ -9,20 +9,21 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kGroupWidth =
-    2;  // times its share of the connections, as other balancers use the backends too
-constexpr double kLateFraction = 0.7;  // a delay over this part of the objective: others take its place
-constexpr double kFullLoad = 0.95;     // load at which others have taken all of its place
+// Backends per group, as a multiple of its share of the connections.
+constexpr double kGroupWidth = 2;
+constexpr double kLateFraction = 0.7;  // of the objective: a higher delay moves a backend to the end
+constexpr double kFullLoad = 0.95;     // load from which the availability is at its minimum
 constexpr double kLateWeight = 1e-9, kMinAvailability = 0.01, kAvailabilityExponent = 4;
 
-// A number from 0 to 1, 0 excluded, that the pair always has.
+// Pseudo-random number in (0, 1], determined by backend and group.
 double rendezvous_draw(std::uint64_t backend_hash, std::uint64_t group) {
   return (static_cast<double>(mix_bits(backend_hash ^ group) >> 11) + 1) * 0x1p-53;
 }
 
 }  // namespace
 
-// Its weight as it fills up. An old report of fullness is not believed.
+// Weight factor that drops as the backend fills up. An outdated report does not count as more than
+// kHeadroomLoad.
 double GroupAffinity::availability(const Backend& backend) const {
   if (delays_.delay(backend) > kLateFraction * delays_.shortest_objective_ms()) return kLateWeight;
   bool recent = context_.now - backend.report_at < DelaySignals::kReportDecayTime;
@@ -33,7 +34,8 @@
 
 double GroupAffinity::rank(const Request& request, int index, double mean_scale) const {
   const Backend& backend = backends_[index];
-  // A big one that warms up counts as a usual one: the crowd that it draws would be its end.
+  // The weight grows with the square of the scale, but only linearly during warm-up, when a burst could
+  // overload a large backend.
   double scale = ramp_.warming(backend) ? mean_scale : backend.scale;
   double weight =
       backend.scale * scale * availability(backend) * (request.has_tried(index) ? kTriedWeight : 1);
@@ -48,15 +50,14 @@
   for (std::size_t k = 0; k < candidates.size(); ++k)
     if (!backends_[candidates[k]].down) ranked.emplace_back(rank(request, candidates[k], mean_scale), k);
   std::sort(ranked.begin(), ranked.end());
-  double share = kGroupWidth * groups_.count(request.group) / (kGroupWidth + mean_load);
-  double needed = mean_scale * std::clamp(share, 1.0, kMaxGroupBackends);
+  double wanted = kGroupWidth * groups_.count(request.group) / (kGroupWidth + mean_load);
+  double needed = mean_scale * std::clamp(wanted, 1.0, kMaxGroupBackends);
   const bool may_wait = !rules_.near_deadline(request);
   for (const auto& [unused_rank, k] : ranked) {
     if (needed <= 0) break;
     const Backend& backend = backends_[candidates[k]];
     selected[k] = ramp_.open(backend);
-    // A request may wait for a closed backend to open, but not until its time is up: then the next in rank is
-    // used.
+    // A request waits for a warming backend to open; near its deadline it uses the next in rank instead.
     if (selected[k] || may_wait) needed -= backend.scale * ramp_.factor(backend);
   }
   return selected;
--- a/src/policy/placement/group_affinity.h
+++ b/src/policy/placement/group_affinity.h
@@ -1,5 +1,4 @@
-/// Group affinity: which backends the connections of one group keep to. A backend pays for a group once,
-/// whether it holds one connection of it or all.
+/// Group affinity.
 #pragma once
 
 #include <vector>
@@ -14,6 +13,8 @@
 
 namespace marblehub::policy {
 
+/// Keeps the connections of a group on few backends, as a backend pays a fixed cost for each group that it
+/// holds, whatever the number of connections.
 class GroupAffinity {
  public:
   GroupAffinity(const Context& context, const BackendTable& backends, const DelaySignals& delays,
@@ -25,11 +26,12 @@
         rules_(rules),
         groups_(groups) {}
 
-  /// For each candidate whether the request's group keeps to it; all where it has none. The order is given by
-  /// the group's number and the backends' names, the same at all balancers; one that is full, late, down or
-  /// warming up gives way to the next. As many as the group's share of this balancer's connections asks for,
-  /// since one connection says little of a group's size, and many balancers with wide sets would scatter it.
-  /// `usual_scale`: the candidates' mean; `mean_load`: connections a backend.
+  /// Returns for each candidate whether the group of the request may use it; all if it has no group.
+  /// Candidates are ranked by weighted rendezvous hashing of group and address, so all balancers prefer the
+  /// same backends; backends that are full, late, down or warming up rank lower or are skipped. The number of
+  /// backends grows with the group's share of this balancer's connections, from 1 to kMaxGroupBackends:
+  /// larger sets at many balancers would scatter the group. `mean_scale` and `mean_load` are means over the
+  /// candidates.
   std::vector<char> select(const Request& request, const std::vector<int>& candidates, double mean_scale,
                            double mean_load) const;
 
--- a/src/policy/placement/selector.cpp
+++ b/src/policy/placement/selector.cpp
@@ -9,22 +9,21 @@
 namespace marblehub::policy {
 namespace {
 
-constexpr double kActiveWeight = 0.25, kRecentWeight = 0.25, kLatencyWeight = 0.5;  // the design's blend
-constexpr double kBlendExponent = 6;  // a backend half as good by the blend draws 1/64 as often
-constexpr double kMissFactor = 0.25;  // of the weight, for each miss in a row
-constexpr double kHeadroomExponent = 6,
-                 kMinHeadroom = 0.02;      // what is left of its capacity counts to this power
-constexpr double kCrossZoneFactor = 8;     // crossing zones counts as latency: price x objective x this
-constexpr double kMinLatencyOffset = 0.1;  // ms that are added to latencies before they are compared
-constexpr double kOutsideSampleWeight =
-    0.0005;  // weight outside the sample: used when all inside it are in trouble
-constexpr std::size_t kMinExaminedCandidates =
-    128;  // candidates a draw looks at, or twice the root of the fleet if more
+constexpr double kActiveWeight = 0.25, kRecentWeight = 0.25, kLatencyWeight = 0.5;  // of the scores
+constexpr double kBlendExponent = 6;  // half the combined score gives 1/64 of the weight
+constexpr double kMissFactor = 0.25;  // weight factor for each consecutive miss
+constexpr double kHeadroomExponent = 6, kMinHeadroom = 0.02;  // of the free capacity
+constexpr double kCrossZoneFactor = 8;           // latency of crossing zones: price * objective * factor
+constexpr double kMinLatencyOffset = 0.1;        // ms, added to latencies before they are compared
+constexpr double kOutsideSampleWeight = 0.0005;  // such backends serve if all in the sample are unavailable
+// Number of candidates examined in a large fleet; 2 * sqrt(fleet size) if that is greater.
+constexpr std::size_t kMinExaminedCandidates = 128;
 
 }  // namespace
 
+/// Sums and means over the candidates that are up.
 struct Selector::Totals {
-  std::vector<double> recent;  // connections, of each candidate
+  std::vector<double> recent;  // decayed load of recent connections, for each candidate
   double count = 0, total_scale = 0, total_load = 0, total_recent = 0;
   double mean_latency = 0, best_latency = 1e18, latency_offset = 0;
 };
@@ -36,8 +35,8 @@
   if (sampled.size() > examined && request.group == 0) {
     for (std::size_t k = 0; k < examined; ++k)
       std::swap(sampled[k], sampled[k + context_.random.bits() % (sampled.size() - k)]);
-    std::vector<int> part(sampled.begin(), sampled.begin() + static_cast<std::ptrdiff_t>(examined));
-    int picked = pick_among(request, std::move(part), false);
+    std::vector<int> subset(sampled.begin(), sampled.begin() + static_cast<std::ptrdiff_t>(examined));
+    int picked = pick_among(request, std::move(subset), false);
     if (picked != kNoBackend) return picked;
   }
   return pick_among(request, backends_.all(), true);
@@ -52,7 +51,7 @@
     any_up = true;
     any_sampled |= backends_[index].sampled;
   }
-  if (!any_up)  // round robin, as without health checks
+  if (!any_up)  // round robin, ignoring health checks
     return whole_fleet ? candidates[round_robin_next_++ % candidates.size()] : kNoBackend;
 
   const Totals totals = totals_of(candidates, any_sampled);
@@ -96,22 +95,22 @@
   const Settings& settings = context_.settings;
   const double capacity_factor = ramp_.factor(backend);
 
-  // A candidate's share of the connections if they were spread by size, as a count to compare with.
+  // Counts are compared with an even distribution by scale.
   double scale_share = backend.scale / totals.total_scale;
   double active_score =
       1 / (1 + backend.load / (scale_share * totals.count) / (1 + totals.total_load / totals.count));
   double recent_score =
       1 / (1 + recent / (scale_share * totals.count) / (1 + totals.total_recent / totals.count));
   if (capacity_factor < 1)
-    active_score = recent_score = 0.5;  // low counts while it warms up must not pull crowds
+    active_score = recent_score = 0.5;  // low counts must not attract a burst during warm-up
 
   double crossing_cost = kCrossZoneFactor * settings.price_cross_zone * delays_.shortest_objective_ms();
   double latency = (backend.latency > 0 ? backend.latency : totals.mean_latency) + delays_.delay(backend) +
                    (backend.zone == settings.zone ? 0 : crossing_cost);
   double latency_score = (totals.best_latency + totals.latency_offset) / (latency + totals.latency_offset);
 
-  double blend = kActiveWeight * active_score + kRecentWeight * recent_score + kLatencyWeight * latency_score;
-  double weight = backend.scale * std::pow(blend, kBlendExponent) * std::pow(kMissFactor, backend.misses);
+  double score = kActiveWeight * active_score + kRecentWeight * recent_score + kLatencyWeight * latency_score;
+  double weight = backend.scale * std::pow(score, kBlendExponent) * std::pow(kMissFactor, backend.misses);
   weight *= std::pow(std::clamp(1 - backend.utilization, kMinHeadroom, 1.0), kHeadroomExponent);
   weight *= ramp_.open(backend) ? capacity_factor : 0;
   if (!backend.sampled) weight *= kOutsideSampleWeight;
--- a/src/policy/placement/selector.h
+++ b/src/policy/placement/selector.h
@@ -1,5 +1,4 @@
-/// Chooses the backend of an attempt by the design's blend of active connections, recent connections and
-/// latency.
+/// Backend selection.
 #pragma once
 
 #include <vector>
@@ -13,6 +12,8 @@
 
 namespace marblehub::policy {
 
+/// Selects the backend of an attempt by weighted random choice. The weight combines active connections,
+/// recent connections and latency, and is scaled by capacity, reported load and health.
 class Selector {
  public:
   Selector(Context& context, BackendTable& backends, const DelaySignals& delays, const SlowStartRamp& ramp,
@@ -24,15 +25,15 @@
         rules_(rules),
         affinity_(affinity) {}
 
-  /// The index of a backend for the next attempt, or kNoBackend. In a big fleet each draw looks at a part,
-  /// chosen anew; a group's backends are the same only over the whole.
+  /// Returns the index of a backend for the next attempt, or kNoBackend. In a large fleet only a random
+  /// subset is examined, except for grouped requests, whose backends are ranked over the whole fleet.
   int pick(const Request& request);
 
-  /// How long a connection counts as new at its backend.
+  /// Decay time of the recent connections of a backend.
   static constexpr Time kRecentDecayTime = 10 * kSecond;
 
  private:
-  struct Totals;  // over the candidates
+  struct Totals;
 
   int pick_among(const Request& request, std::vector<int> candidates, bool whole_fleet);
   Totals totals_of(const std::vector<int>& candidates, bool any_sampled) const;
@@ -45,7 +46,7 @@
   const SlowStartRamp& ramp_;
   const RetryRules& rules_;
   const GroupAffinity& affinity_;
-  std::size_t round_robin_next_ = 0;  // of the round robin
+  std::size_t round_robin_next_ = 0;  // if all candidates are down
 };
 
 }  // namespace marblehub::policy
