--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,3 +1,4 @@
+// Serves the line protocol of the simulator on standard input and output.
 #include <exception>
 #include <iostream>
 
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -17,51 +17,55 @@
   reply += std::to_string(instance);
 }
 
+/// Visitor for std::visit made of several lambdas.
 template <class... Parts>
 struct Overloaded : Parts... {
   using Parts::operator()...;
 };
 template <class... Parts>
-Overloaded(Parts...) -> Overloaded<Parts...>;  // clang before 17 needs it
+Overloaded(Parts...) -> Overloaded<Parts...>;  // required by clang before 17
 
 }  // namespace
 
-// The parts of one line, read from left to right.
+/// Reads the space-separated fields of one line from left to right. Every reader throws WireError if the
+/// field is missing or invalid; `what` describes the expected value.
 class Adapter::Fields {
  public:
-  Fields(std::string_view line, std::size_t number) : rest_(line), more_(!line.empty()), number_(number) {}
+  Fields(std::string_view line, std::size_t number)
+      : rest_(line), has_more_(!line.empty()), number_(number) {}
 
-  std::string place() const { return "line " + std::to_string(number_) + ": "; }
-  [[noreturn]] void refuse(std::string_view expected) const {
-    throw WireError(place() + "expected " + std::string(expected));
+  std::string location() const { return "line " + std::to_string(number_) + ": "; }
+  [[noreturn]] void fail(std::string_view expected) const {
+    throw WireError(location() + "expected " + std::string(expected));
   }
-  bool more() const { return more_; }
+  bool has_more() const { return has_more_; }
   std::string_view text(std::string_view what) {
-    if (!more_) refuse(what);
+    if (!has_more_) fail(what);
     std::size_t space = rest_.find(' ');
     std::string_view part = rest_.substr(0, space);
-    more_ = space != std::string_view::npos;
-    rest_ = more_ ? rest_.substr(space + 1) : std::string_view();
-    if (part.empty()) refuse(what);
+    has_more_ = space != std::string_view::npos;
+    rest_ = has_more_ ? rest_.substr(space + 1) : std::string_view();
+    if (part.empty()) fail(what);
     return part;
   }
   template <class Number>
   Number number(std::string_view what) {
     std::optional<Number> value = parse_number<Number>(text(what));
-    if (!value || *value < 0) refuse(what);
+    if (!value || *value < 0) fail(what);
     return *value;
   }
+  // A number, or "-", which is read as 0.
   template <class Number>
   Number number_or_absent(std::string_view what) {
     std::string_view part = text(what);
     if (part == "-") return 0;
     std::optional<Number> value = parse_number<Number>(part);
-    if (!value || *value < 0) refuse(what);
+    if (!value || *value < 0) fail(what);
     return *value;
   }
   bool flag(std::string_view what) {
     std::string_view part = text(what);
-    if (part != "0" && part != "1") refuse(what);
+    if (part != "0" && part != "1") fail(what);
     return part == "1";
   }
   template <class Choice>
@@ -69,7 +73,7 @@
     std::string_view part = text(what);
     for (const auto& [name, meaning] : choices)
       if (part == name) return meaning;
-    refuse(what);
+    fail(what);
   }
   Outcome outcome() {
     return choice<Outcome>("an outcome code: S, E, F, T, C, R, X or N", {{"S", Outcome::served},
@@ -81,32 +85,32 @@
                                                                          {"X", Outcome::cancelled},
                                                                          {"N", Outcome::not_sent}});
   }
-  // name:value pairs; names that are not needed are skipped.
+  // Comma-separated name:value pairs, or "-". Unknown names are ignored.
   LoadReport report() {
     std::string_view all = text("a load report or -");
     LoadReport report;
-    double busy = -1;
+    double cpu = -1;
     if (all == "-") return report;
     while (!all.empty()) {
       std::string_view pair = all.substr(0, all.find(','));
       all = pair.size() < all.size() ? all.substr(pair.size() + 1) : std::string_view();
       std::size_t colon = pair.find(':');
-      if (colon == std::string_view::npos) refuse("name:value in the load report");
+      if (colon == std::string_view::npos) fail("name:value in the load report");
       std::optional<double> value = parse_number<double>(pair.substr(colon + 1));
-      if (!value) refuse("a number in the load report");
+      if (!value) fail("a number in the load report");
       if (pair.substr(0, colon) == "x0") report.load = *value;
-      if (pair.substr(0, colon) == "cpu") busy = *value;
+      if (pair.substr(0, colon) == "cpu") cpu = *value;
     }
-    if (report.load < 0) report.load = busy;
+    if (report.load < 0) report.load = cpu;
     return report;
   }
-  void finish() const {
-    if (more_) refuse("the end of the line");
+  void expect_end() const {
+    if (has_more_) fail("the end of the line");
   }
 
  private:
   std::string_view rest_;
-  bool more_;
+  bool has_more_;
   std::size_t number_;
 };
 
@@ -131,17 +135,17 @@
 void Adapter::read_batch(std::istream& in, std::string& reply) {
   {
     Fields fields(line_, line_number_);
-    if (fields.text("tick") != "tick") fields.refuse("tick");
+    if (fields.text("tick") != "tick") fields.fail("tick");
     Time clock = fields.number<Time>("the clock in microseconds");
-    fields.finish();
-    if (clock < now_) fields.refuse("a clock that advances");
+    fields.expect_end();
+    if (clock < now_) fields.fail("a clock not less than the previous one");
     now_ = clock;
   }
   while (read_line(in)) {
     Fields fields(line_, line_number_);
     std::string_view verb = fields.text("an event or go");
     if (verb == "go") {
-      fields.finish();
+      fields.expect_end();
       return;
     }
     if (verb == "pool") {
@@ -155,27 +159,27 @@
 
 void Adapter::read_pool(Fields& fields, std::istream& in) {
   auto slot = fields.number<std::size_t>("a list number from 0 to 15");
-  if (slot >= pools_.size()) fields.refuse("a list number from 0 to 15");
+  if (slot >= pools_.size()) fields.fail("a list number from 0 to 15");
   auto count = fields.number<std::size_t>("the number of entries");
-  fields.finish();
+  fields.expect_end();
   auto entries = std::make_shared<Entries>();
   for (std::size_t i = 0; i < count; ++i) {
     if (!read_line(in))
       throw WireError("line " + std::to_string(line_number_ + 1) +
                       ": expected entry, found the end of input");
     Fields entry(line_, line_number_);
-    if (entry.text("entry") != "entry") entry.refuse("entry");
+    if (entry.text("entry") != "entry") entry.fail("entry");
     BackendEntry b;
     b.health = entry.choice<Health>(
         "SERVING, DRAINING or DELETED",
         {{"SERVING", Health::serving}, {"DRAINING", Health::draining}, {"DELETED", Health::deleted}});
-    entry.text("the kind of machine");
+    entry.text("the machine type");
     b.start_time = entry.number_or_absent<Time>("the start time");
     b.scale = entry.number_or_absent<double>("the scale");
     b.zone = entry.text("the zone");
     b.address = entry.text("the backend");
-    b.cell = entry.number_or_absent<std::int64_t>("the stripe");
-    entry.finish();
+    b.cell = entry.number_or_absent<std::int64_t>("the cell");
+    entry.expect_end();
     entries->push_back(std::move(b));
   }
   pools_[slot] = std::move(entries);
@@ -184,14 +188,14 @@
 void Adapter::attach(int number, Fields& fields) {
   auto seed = fields.number<std::uint64_t>("a seed");
   std::map<std::string, std::string, std::less<>> values;
-  while (fields.more()) {
+  while (fields.has_more()) {
     std::string_view pair = fields.text("path=value");
     std::size_t equals = pair.find('=');
-    if (equals == std::string_view::npos) fields.refuse("path=value");
+    if (equals == std::string_view::npos) fields.fail("path=value");
     values.emplace(pair.substr(0, equals), pair.substr(equals + 1));
   }
   Instance instance;
-  instance.settings = settings_from(Options(std::move(values), fields.place()));
+  instance.settings = settings_from(Options(std::move(values), fields.location()));
   for (std::size_t i = 0; i < instance.settings.classes.size(); ++i)
     instance.class_index.emplace(instance.settings.classes[i].name, static_cast<int>(i));
   instance.balancer = std::make_unique<Balancer>(instance.settings, seed, now_);
@@ -202,37 +206,38 @@
                                    std::string* backend) {
   RequestEvent request;
   request.id = fields.number<std::uint64_t>("a request id");
-  auto read_bits = [&] {
-    auto bits = fields.number<unsigned>("the bitmap");
-    request.returned = bits & 16;
-    return bits;
+  auto read_flags = [&] {
+    auto flags = fields.number<unsigned>("the bitmap");
+    request.returned = flags & 16;
+    return flags;
   };
   auto read_class = [&] {
     auto it = instance.class_index.find(fields.text("a class"));
-    if (it == instance.class_index.end()) fields.refuse("a class named in request_classes");
+    if (it == instance.class_index.end()) fields.fail("a class named in request_classes");
     request.request_class = it->second;
   };
-  unsigned bits = 0;
+  // Bit 0: the load hint is valid. Bit 4: the client reconnects.
+  unsigned flags = 0;
   if (handed_over) {
     read_class();
     fields.text("a tenant or -");
     fields.number_or_absent<std::uint64_t>("a key or -");
-    request.expires_in = fields.number_or_absent<Time>("the time that is left");
+    request.expires_in = fields.number_or_absent<Time>("the remaining time");
     request.load_hint = fields.number_or_absent<double>("a load hint or -");
-    request.group = fields.number_or_absent<std::uint64_t>("a room or -");
-    bits = read_bits();
+    request.group = fields.number_or_absent<std::uint64_t>("a group or -");
+    flags = read_flags();
     *backend = fields.text("a backend");
   } else {
-    bits = read_bits();
+    flags = read_flags();
     fields.number_or_absent<std::uint64_t>("a key or -");
-    request.group = fields.number_or_absent<std::uint64_t>("a room or -");
+    request.group = fields.number_or_absent<std::uint64_t>("a group or -");
     fields.text("a tenant or -");
     request.load_hint = fields.number_or_absent<double>("a load hint or -");
     read_class();
-    request.expires_in = fields.number_or_absent<Time>("the time that is left");
+    request.expires_in = fields.number_or_absent<Time>("the remaining time");
   }
-  if (!(bits & 1)) request.load_hint = 0;
-  fields.finish();
+  if (!(flags & 1)) request.load_hint = 0;
+  fields.expect_end();
   return request;
 }
 
@@ -240,13 +245,13 @@
   static constexpr std::string_view verbs[] = {"attach",      "members", "work_item", "result",
                                                "handover",    "inbox",   "ring",      "first",
                                                "ping_result", "interim", "stop",      "gone"};
-  bool known_verb = false;
-  for (std::string_view v : verbs) known_verb |= v == verb;
-  if (!known_verb) fields.refuse("an event of the wire page or go");
+  bool is_known = false;
+  for (std::string_view v : verbs) is_known |= v == verb;
+  if (!is_known) fields.fail("a known event or go");
   int number = fields.number<int>("an instance");
   if (verb == "attach") return attach(number, fields);
   auto it = instances_.find(number);
-  if (it == instances_.end()) fields.refuse("an instance that has been attached");
+  if (it == instances_.end()) fields.fail("an instance that has been attached");
   Instance& instance = it->second;
 
   Event event;
@@ -262,7 +267,7 @@
     if (e.kind != EndpointListKind::failed) {
       std::optional<std::size_t> slot = parse_number<std::size_t>(slot_text);
       if (!slot || *slot >= pools_.size() || !pools_[*slot])
-        fields.refuse("the number of a pool given before");
+        fields.fail("the number of a pool received before");
       e.entries = pools_[*slot];
     }
     event = std::move(e);
@@ -278,7 +283,7 @@
     e.attempt = fields.number<int>("an attempt number");
     e.terminal = fields.flag("0 or 1");
     e.backend = fields.text("a backend");
-    e.rtt = fields.number<Time>("the time since sending");
+    e.rtt = fields.number<Time>("the elapsed time");
     e.outcome = fields.outcome();
     e.report = fields.report();
     event = std::move(e);
@@ -287,12 +292,12 @@
     e.id = fields.number<std::uint64_t>("a request id");
     fields.text("a backend");
     e.attempt = fields.number<int>("an attempt number");
-    e.rtt = fields.number<Time>("the time since sending");
+    e.rtt = fields.number<Time>("the elapsed time");
     event = e;
   } else if (verb == "ping_result") {
     ProbeResultEvent e;
     e.backend = fields.text("a backend");
-    e.rtt = fields.number<Time>("the time since sending");
+    e.rtt = fields.number<Time>("the elapsed time");
     e.outcome = fields.outcome();
     e.report = fields.report();
     event = std::move(e);
@@ -310,13 +315,13 @@
   } else if (verb == "gone") {
     event = ClientGoneEvent{fields.number<std::uint64_t>("a request id")};
   } else if (verb == "inbox") {
-    return;  // relays share nothing: a message from another one is read and left aside
+    return;  // balancers exchange no messages, so the rest of the line is ignored
   } else {
-    fields.finish();
+    fields.expect_end();
     instance.balancer.reset();  // stop
     return;
   }
-  fields.finish();
+  fields.expect_end();
   if (!instance.balancer) return;
   actions_.clear();
   instance.balancer->handle(now_, event, actions_);
@@ -326,7 +331,7 @@
 void Adapter::write(int number, std::string& reply) const {
   auto put = [&](std::string_view verb, auto... values) {
     append(reply, verb, number);
-    auto one = [&](const auto& value) {
+    auto append_value = [&](const auto& value) {
       reply += ' ';
       if constexpr (std::is_integral_v<std::decay_t<decltype(value)>>) {
         reply += std::to_string(value);
@@ -334,7 +339,7 @@
         reply += value;
       }
     };
-    (one(values), ...);
+    (append_value(values), ...);
     reply += '\n';
   };
   for (const Action& action : actions_) {
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -1,4 +1,4 @@
-// The bench's wire: text lines in, text lines out, one Balancer for each instance. No decision is taken here.
+/// Line protocol of the simulator.
 #pragma once
 
 #include <array>
@@ -14,19 +14,22 @@
 
 namespace marblehub::policy::adapter {
 
-// Input that the wire page does not allow; what() is one plain line.
+/// Invalid input. what() is a single line that starts with the line number.
 using WireError = marblehub::config::DecodeError;
 
+/// Runs one Balancer per attached instance: decodes batches of events from text lines, and encodes the
+/// actions.
 class Adapter {
  public:
-  // Serves batches until the end of input, which must fall between two of them. Throws WireError.
+  /// Serves batches until the end of input, which must not be within a batch. Throws WireError.
   void serve(std::istream& in, std::ostream& out);
 
  private:
+  /// An attached balancer and its settings.
   struct Instance {
     Settings settings;
     std::map<std::string, int, std::less<>> class_index;
-    std::unique_ptr<Balancer> balancer;  // none once stopped
+    std::unique_ptr<Balancer> balancer;  // null once stopped
   };
   using Entries = std::vector<BackendEntry>;
 
@@ -42,9 +45,9 @@
   std::string line_;
   std::size_t line_number_ = 0;
   Time now_ = 0;
-  std::array<std::shared_ptr<const Entries>, 16> pools_;
+  std::array<std::shared_ptr<const Entries>, 16> pools_;  // endpoint lists, by list number
   std::map<int, Instance> instances_;
-  std::vector<Action> actions_;
+  std::vector<Action> actions_;  // of the current event
 };
 
 }  // namespace marblehub::policy::adapter
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// The line protocol of the adapter: decoding of events, encoding of actions, error messages.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +45,7 @@
   return "no error";
 }
 
-TEST(Wire, ADayInShort) {
+TEST(Wire, ServesASessionFromAttachToStop) {
   std::string reply = serve("tick 0\ngo\n" + start() +
                             "tick 1001000\nwork_item 3 77 1 - - - 12000 feed 1800000\ngo\n"
                             "tick 1002000\nfirst 3 77 10.0.0.1:70 0 900\ngo\n"
@@ -57,7 +58,7 @@
   EXPECT_TRUE(reply.ends_with("eor\neor\neor\neor\neor\n")) << reply;
 }
 
-TEST(Wire, AlarmsLeadToProbesAndTheListIsAskedFor) {
+TEST(Wire, TimersTriggerProbesAndAListRequest) {
   std::string text = start();
   for (int i = 1; i < 200; ++i) {
     text += "tick ";
@@ -69,27 +70,27 @@
   EXPECT_NE(reply.find("\ncheck 3 10.0.0.1:70\n"), std::string::npos);
 }
 
-TEST(Wire, HandoverIsRead) {
+TEST(Wire, DecodesHandover) {
   std::string reply = serve(start() +
                             "tick 1001000\nhandover 3 5 feed - - 100 9000 - 1 10.0.0.1:70\ngo\n"
                             "tick 1002000\nresult 3 5 0 1 10.0.0.1:70 3000 X -\ngo\n");
   EXPECT_TRUE(reply.ends_with("eor\neor\neor\n"));
 }
 
-TEST(Wire, EndOfInputBetweenBatchesIsNoError) { EXPECT_EQ(error_of(start()), "no error"); }
+TEST(Wire, AcceptsEndOfInputBetweenBatches) { EXPECT_EQ(error_of(start()), "no error"); }
 
-TEST(Wire, EachMistakeIsNamedWithItsLine) {
+TEST(Wire, ReportsEachErrorWithItsLineNumber) {
   EXPECT_EQ(error_of("tick 5\n"), "line 2: expected go, found the end of input");
   EXPECT_EQ(error_of("tock 5\ngo\n"), "line 1: expected tick");
   EXPECT_EQ(error_of("tick x\ngo\n"), "line 1: expected the clock in microseconds");
   EXPECT_EQ(error_of("tick 5\nring 9 0\ngo\n"), "line 2: expected an instance that has been attached");
-  EXPECT_EQ(error_of("tick 5\nwobble 9 0\ngo\n"), "line 2: expected an event of the wire page or go");
+  EXPECT_EQ(error_of("tick 5\nwobble 9 0\ngo\n"), "line 2: expected a known event or go");
   EXPECT_EQ(error_of("tick 5\npool 0 2\nentry SERVING std - 1 n a:1 0\ngo\n"), "line 4: expected entry");
   EXPECT_EQ(error_of("tick 5\npool 16 0\ngo\n"), "line 2: expected a list number from 0 to 15");
   EXPECT_EQ(error_of("tick 5\npool 0 1\nentry SERVING std - nan n a:1 0\ngo\n"),
             "line 3: expected the scale");
   EXPECT_EQ(error_of(start() + "tick 1000001\nmembers 3 1 5 all\ngo\n"),
-            "line 8: expected the number of a pool given before");
+            "line 8: expected the number of a pool received before");
   EXPECT_EQ(error_of(start() + "tick 1000001\nring 3\ngo\n"), "line 8: expected a cookie");
   EXPECT_EQ(error_of(start() + "tick 1000001\nring 3 1 2\ngo\n"), "line 8: expected the end of the line");
   EXPECT_EQ(error_of(start() + "tick 1000001\nresult 3 7 0 2 a:1 1 S -\ngo\n"), "line 8: expected 0 or 1");
@@ -99,28 +100,27 @@
             "line 8: expected a class named in request_classes");
 }
 
-// What a worker says of a connection's load, and whose a call is, come from outside: each is taken or refused
-// by name.
-TEST(Wire, LoadsAndTenantsAreTakenOrNamed) {
+// Loads and tenants come from outside the balancer, so invalid values must be rejected.
+TEST(Wire, AcceptsOrRejectsLoadsAndTenants) {
   std::string call = start() + "tick 1001000\nwork_item 3 77 0 - - jua-daycare - feed 1800000\ngo\n";
   auto load = [&](const std::string& level) {
     return error_of(call + "tick 1002000\ninterim 3 77 0 1 10.0.0.1:70 " + level + "\ngo\n");
   };
-  for (const char* taken : {"0", "4000", "0.5", "1e308"}) EXPECT_EQ(load(taken), "no error") << taken;
-  for (const char* refused : {"nan", "inf", "-4000", "1e999", "soon", "", "40x"})
-    EXPECT_EQ(load(refused), "line 11: expected a level") << refused;
+  for (const char* valid : {"0", "4000", "0.5", "1e308"}) EXPECT_EQ(load(valid), "no error") << valid;
+  for (const char* invalid : {"nan", "inf", "-4000", "1e999", "soon", "", "40x"})
+    EXPECT_EQ(load(invalid), "line 11: expected a level") << invalid;
   EXPECT_EQ(load("4000 4000"), "line 11: expected the end of the line");
   EXPECT_EQ(error_of(replaced(call, " jua-daycare ", " - ")), "no error");
   EXPECT_EQ(error_of(replaced(call, " jua-daycare ", " a=b,t= ")), "no error");
   EXPECT_EQ(error_of(replaced(call, " jua-daycare ", "  ")), "line 8: expected a tenant or -");
-  // After the hugest load the next call is still answered or sent.
+  // An extreme load must not prevent the next call from being placed.
   std::string reply =
       serve(call + "tick 1002000\nfirst 3 77 10.0.0.1:70 0 900\ninterim 3 77 0 1 10.0.0.1:70 1e308\ngo\n" +
             "tick 1003000\nwork_item 3 78 0 - - - - feed 1800000\ngo\n");
   EXPECT_NE(reply.find("submit_to 3 78 10.0.0.1:70 "), std::string::npos) << reply;
 }
 
-TEST(Wire, SettingsThatAreMissingOrImpossibleAreNamed) {
+TEST(Wire, ReportsMissingAndInvalidSettings) {
   EXPECT_EQ(error_of(start(replaced(options(), "invariants.warm_within_us=8900000 ", ""))),
             "line 2: setting invariants.warm_within_us: expected a value");
   EXPECT_NE(
