--- a/examples/relay.cpp
+++ b/examples/relay.cpp
@@ -1,4 +1,4 @@
-// A relay in miniature: how an event loop hands events to a Balancer and carries out what it decides.
+// Minimal example: passes two events to a Balancer and executes the resulting actions.
 #include <marblehub/policy.h>
 
 #include <cstdio>
@@ -12,7 +12,7 @@
   settings.max_attempts = 3;
   settings.classes.push_back({.name = "updates", .slo_us = 300'000, .stream = true});
   if (auto error = policy::validate(settings)) {
-    std::printf("bad setting %s\n", error->key.c_str());
+    std::printf("invalid setting: %s\n", error->key.c_str());
     return 1;
   }
   policy::Balancer balancer(settings, /*seed=*/42, /*now=*/0);
@@ -27,11 +27,11 @@
   int submitted = 0;
   for (const policy::Action& action : actions) {
     if (const auto* submit = std::get_if<policy::Submit>(&action)) {
-      std::printf("request %llu goes to %s\n", static_cast<unsigned long long>(submit->id),
+      std::printf("request %llu: submit to %s\n", static_cast<unsigned long long>(submit->id),
                   submit->backend.c_str());
       ++submitted;
     } else if (const auto* timer = std::get_if<policy::SetTimer>(&action)) {
-      std::printf("wake me in %lld us\n", static_cast<long long>(timer->after));
+      std::printf("timer in %lld us\n", static_cast<long long>(timer->after));
     }
   }
   return submitted == 1 ? 0 : 1;
