--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "policy/relay.h"
+#include "policy/balancer_harness.h"
 
 namespace marblehub::policy {
 namespace {
