--- a/tests/policy/balancer_harness.h
+++ b/tests/policy/balancer_harness.h
@@ -1,4 +1,4 @@
-// Drives one Balancer of the policy by hand.
+/// Test harness for the policy.
 #pragma once
 
 #include <algorithm>
@@ -17,6 +17,7 @@
 
 constexpr Time kMs = 1000, kSec = 1'000'000;
 
+/// A class of long-lived connections with the given repeat rules.
 inline RequestClass stream_class(Repeat repeat = Repeat::safe, DedupScope scope = DedupScope::all) {
   RequestClass c;
   c.name = "c";
@@ -29,7 +30,8 @@
   return c;
 }
 
-inline Settings plain_settings() {
+/// Settings with one stream class and free probes.
+inline Settings default_settings() {
   Settings s;
   s.zone = "a";
   s.max_attempts = 3;
@@ -40,22 +42,23 @@
   return s;
 }
 
-inline std::string name_of(int i) {
+inline std::string address_of(int i) {
   std::string name("b");
   return name += std::to_string(i);
 }
 
-inline BackendEntry backend(int i, Health health = Health::serving, Time start = 0) {
+/// Backend i is in zone a or b by parity, and in a cell with one neighbor.
+inline BackendEntry backend_entry(int i, Health health = Health::serving, Time start = 0) {
   return {.health = health,
-          .address = name_of(i),
+          .address = address_of(i),
           .zone = i % 2 ? "b" : "a",
           .start_time = start,
           .scale = 1,
           .cell = i / 2};
 }
 
-// Drives one Balancer by hand: probes are answered as told, timers fire when due, submits are kept.
-struct Relay {
+/// Drives one Balancer: answers probes, fires timers and records the other actions.
+struct BalancerHarness {
   Balancer balancer;
   Time now = 1'000'000;
   std::vector<Action> actions;
@@ -65,33 +68,36 @@
   std::vector<Fail> failures;
   std::vector<Redirect> redirects;
   std::vector<std::string> probes;
-  int tracks = 0;
-  std::map<std::string, Time> rtt;  // of a probe; default 1 ms
-  std::set<std::string> silent;     // probes there time out
+  int list_requests = 0;
+  std::map<std::string, Time> rtt;     // of probes, by address; 1 ms if absent
+  std::set<std::string> unresponsive;  // addresses whose probes time out
   std::uint64_t next_id = 1;
 
-  explicit Relay(Settings s, std::uint64_t seed = 7) : balancer(std::move(s), seed, 1'000'000) {}
+  explicit BalancerHarness(Settings s, std::uint64_t seed = 7) : balancer(std::move(s), seed, 1'000'000) {}
 
+  /// Sends an event at the current time and processes the actions.
   void send(const Event& event) {
     actions.clear();
     balancer.handle(now, event, actions);
-    std::vector<Action> todo = actions;
-    std::vector<std::string> probed;
-    for (const Action& a : todo) {
+    std::vector<Action> new_actions = actions;
+    std::vector<std::string> probed_backends;
+    for (const Action& a : new_actions) {
       if (auto* x = std::get_if<Submit>(&a)) submits.push_back(*x);
       if (auto* x = std::get_if<Reject>(&a)) rejections.push_back(*x);
       if (auto* x = std::get_if<Fail>(&a)) failures.push_back(*x);
       if (auto* x = std::get_if<Redirect>(&a)) redirects.push_back(*x);
-      if (auto* x = std::get_if<Probe>(&a)) probes.push_back(x->backend), probed.push_back(x->backend);
+      if (auto* x = std::get_if<Probe>(&a))
+        probes.push_back(x->backend), probed_backends.push_back(x->backend);
       if (auto* x = std::get_if<SetTimer>(&a)) timers.emplace(now + x->after, x->cookie);
-      if (std::holds_alternative<WatchEndpoints>(a)) ++tracks;
+      if (std::holds_alternative<WatchEndpoints>(a)) ++list_requests;
     }
-    for (const std::string& b : probed) {
+    for (const std::string& b : probed_backends) {
       Time t = rtt.count(b) ? rtt[b] : kMs;
-      send(ProbeResultEvent{b, t, silent.count(b) ? Outcome::timeout : Outcome::served, {}});
+      send(ProbeResultEvent{b, t, unresponsive.count(b) ? Outcome::timeout : Outcome::served, {}});
     }
   }
-  void run_for(Time span) {
+  /// Advances the clock and fires the timers that expire.
+  void advance(Time span) {
     Time end = now + span;
     while (!timers.empty() && timers.begin()->first <= end) {
       now = std::max(now, timers.begin()->first);
@@ -101,14 +107,16 @@
     }
     now = end;
   }
-  void list(std::vector<BackendEntry> entries, EndpointListKind form = EndpointListKind::full) {
-    send(EndpointListEvent{form, std::make_shared<const std::vector<BackendEntry>>(std::move(entries))});
+  void send_list(std::vector<BackendEntry> entries, EndpointListKind kind = EndpointListKind::full) {
+    send(EndpointListEvent{kind, std::make_shared<const std::vector<BackendEntry>>(std::move(entries))});
   }
-  void list_of(int n) {
+  /// Sends a full list of the backends 0 to n - 1.
+  void send_full_list(int n) {
     std::vector<BackendEntry> entries;
-    for (int i = 0; i < n; ++i) entries.push_back(backend(i));
-    list(entries);
+    for (int i = 0; i < n; ++i) entries.push_back(backend_entry(i));
+    send_list(entries);
   }
+  /// Sends a request and returns its id.
   std::uint64_t request(Time left = 1800 * kMs, double hint = 0, int request_class = 0) {
     std::uint64_t id = next_id++;
     send(RequestEvent{.id = id, .request_class = request_class, .expires_in = left, .load_hint = hint});
@@ -123,13 +131,14 @@
                      .outcome = outcome,
                      .report = {}});
   }
-  std::string place_and_open(std::uint64_t* id_out = nullptr) {
+  /// Requests a connection, accepts it at once and returns the address of its backend.
+  std::string open_connection(std::uint64_t* id_out = nullptr) {
     std::uint64_t id = request();
     send(EstablishedEvent{id, 0, 5 * kMs});
     if (id_out) *id_out = id;
     return submits.back().backend;
   }
-  std::size_t answers() const { return rejections.size() + failures.size(); }
+  std::size_t final_answers() const { return rejections.size() + failures.size(); }
 };
 
 }  // namespace marblehub::policy
--- a/tests/policy/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -1,4 +1,4 @@
-// Health checks and what they cost.
+// Health checks and their cost.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,101 +10,101 @@
 namespace marblehub::policy {
 namespace {
 
-TEST(Health, ThreeMissesInARowMarkDownAndOneSuccessMarksUp) {
-  Relay relay(plain_settings());
-  relay.list_of(4);
-  relay.silent.insert("b2");
-  relay.run_for(15 * kSec);
-  EXPECT_EQ(relay.balancer.counts().down, 1u);
-  for (int i = 0; i < 100; ++i) relay.request();
-  for (const Submit& s : relay.submits) EXPECT_NE(s.backend, "b2");
-  relay.silent.clear();
-  relay.run_for(15 * kSec);
-  EXPECT_EQ(relay.balancer.counts().down, 0u);
+TEST(Health, ThreeConsecutiveMissesMarkDownAndOneSuccessMarksUp) {
+  BalancerHarness harness(default_settings());
+  harness.send_full_list(4);
+  harness.unresponsive.insert("b2");
+  harness.advance(15 * kSec);
+  EXPECT_EQ(harness.balancer.counts().down, 1u);
+  for (int i = 0; i < 100; ++i) harness.request();
+  for (const Submit& s : harness.submits) EXPECT_NE(s.backend, "b2");
+  harness.unresponsive.clear();
+  harness.advance(15 * kSec);
+  EXPECT_EQ(harness.balancer.counts().down, 0u);
 }
 
-TEST(Health, TwoMissesAreNotEnoughAndASuccessBetweenStartsAgain) {
-  Relay relay(plain_settings());
-  relay.list_of(2);
+TEST(Health, ASuccessResetsTheCountOfMisses) {
+  BalancerHarness harness(default_settings());
+  harness.send_full_list(2);
   for (Outcome o : {Outcome::timeout, Outcome::timeout, Outcome::served, Outcome::timeout, Outcome::timeout})
-    relay.send(ProbeResultEvent{"b0", kMs, o, {}});
-  EXPECT_EQ(relay.balancer.counts().down, 0u);
-  relay.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
-  EXPECT_EQ(relay.balancer.counts().down, 1u);
+    harness.send(ProbeResultEvent{"b0", kMs, o, {}});
+  EXPECT_EQ(harness.balancer.counts().down, 0u);
+  harness.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
+  EXPECT_EQ(harness.balancer.counts().down, 1u);
 }
 
 TEST(Health, FailedConnectsCountAsMisses) {
-  Relay relay(plain_settings());
-  relay.list_of(1);
-  std::uint64_t id = relay.request();
-  for (int attempt = 0; attempt < 3; ++attempt) relay.result(id, Outcome::connect_failed, false, attempt);
-  EXPECT_EQ(relay.balancer.counts().down, 1u);
+  BalancerHarness harness(default_settings());
+  harness.send_full_list(1);
+  std::uint64_t id = harness.request();
+  for (int attempt = 0; attempt < 3; ++attempt) harness.result(id, Outcome::connect_failed, false, attempt);
+  EXPECT_EQ(harness.balancer.counts().down, 1u);
 }
 
-TEST(Health, ASuspectIsProbedAgainSoonAtAStretchedInterval) {
-  Settings s = plain_settings();
+TEST(Health, ABackendWithAMissIsRecheckedSoonDespiteALongInterval) {
+  Settings s = default_settings();
   s.price_probe = 0.002;
   s.balancers = 200;
-  Relay relay(s);
-  relay.list_of(100);
-  relay.run_for(10 * kSec);
-  relay.probes.clear();
-  relay.silent.insert("b7");
-  relay.send(ProbeResultEvent{"b7", 400 * kMs, Outcome::timeout, {}});
-  relay.run_for(2 * kSec);
-  EXPECT_EQ(relay.balancer.counts().down, 1u);
+  BalancerHarness harness(s);
+  harness.send_full_list(100);
+  harness.advance(10 * kSec);
+  harness.probes.clear();
+  harness.unresponsive.insert("b7");
+  harness.send(ProbeResultEvent{"b7", 400 * kMs, Outcome::timeout, {}});
+  harness.advance(2 * kSec);
+  EXPECT_EQ(harness.balancer.counts().down, 1u);
 }
 
 TEST(Health, AllDownFallsBackToRoundRobin) {
-  Relay relay(plain_settings());
-  for (int i = 0; i < 4; ++i) relay.silent.insert(name_of(i));
-  relay.list_of(4);
-  relay.run_for(20 * kSec);
-  ASSERT_EQ(relay.balancer.counts().down, 4u);
+  BalancerHarness harness(default_settings());
+  for (int i = 0; i < 4; ++i) harness.unresponsive.insert(address_of(i));
+  harness.send_full_list(4);
+  harness.advance(20 * kSec);
+  ASSERT_EQ(harness.balancer.counts().down, 4u);
   std::map<std::string, int> sent;
-  for (int i = 0; i < 40; ++i) relay.request();
-  for (const Submit& s : relay.submits) ++sent[s.backend];
+  for (int i = 0; i < 40; ++i) harness.request();
+  for (const Submit& s : harness.submits) ++sent[s.backend];
   ASSERT_EQ(sent.size(), 4u);
   for (const auto& [b, n] : sent) EXPECT_EQ(n, 10) << b;
 }
 
-TEST(Health, ARestartUnderTheSameIdIsUpAgain) {
-  Relay relay(plain_settings());
-  relay.list_of(2);
-  for (int i = 0; i < 3; ++i) relay.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
-  ASSERT_EQ(relay.balancer.counts().down, 1u);
-  relay.list({backend(0, Health::serving, relay.now)}, EndpointListKind::changes);
-  EXPECT_EQ(relay.balancer.counts().down, 0u);
+TEST(Health, AListedRestartMarksUp) {
+  BalancerHarness harness(default_settings());
+  harness.send_full_list(2);
+  for (int i = 0; i < 3; ++i) harness.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
+  ASSERT_EQ(harness.balancer.counts().down, 1u);
+  harness.send_list({backend_entry(0, Health::serving, harness.now)}, EndpointListKind::changes);
+  EXPECT_EQ(harness.balancer.counts().down, 0u);
 }
 
 TEST(Probing, CostStaysWithinItsBudget) {
-  Settings s = plain_settings();
+  Settings s = default_settings();
   s.price_probe = 0.002;
-  s.balancers = 3;  // the whole fleet is used: nothing but the interval keeps the cost down
-  Relay relay(s);
-  relay.list_of(100);
-  for (int i = 0; i < 50; ++i) relay.request(), relay.run_for(kSec);
-  EXPECT_GT(relay.probes.size(), 50u);
-  EXPECT_LT(static_cast<double>(relay.probes.size()) / 50 * 0.002, 0.02);
+  s.balancers = 3;  // no sampling, so only the interval limits the cost
+  BalancerHarness harness(s);
+  harness.send_full_list(100);
+  for (int i = 0; i < 50; ++i) harness.request(), harness.advance(kSec);
+  EXPECT_GT(harness.probes.size(), 50u);
+  EXPECT_LT(static_cast<double>(harness.probes.size()) / 50 * 0.002, 0.02);
 }
 
-TEST(Probing, EveryServerIsProbedAtTheSourcesIntervalWhereProbesAreFree) {
-  Relay relay(plain_settings());
-  relay.list_of(10);
-  relay.run_for(20 * kSec);
-  std::map<std::string, int> probed;
-  for (const std::string& b : relay.probes) ++probed[b];
-  EXPECT_EQ(probed.size(), 10u);
-  for (const auto& [b, n] : probed) EXPECT_GE(n, 2) << b;
+TEST(Probing, EveryBackendIsProbedEveryFiveSecondsIfProbesAreFree) {
+  BalancerHarness harness(default_settings());
+  harness.send_full_list(10);
+  harness.advance(20 * kSec);
+  std::map<std::string, int> probed_backends;
+  for (const std::string& b : harness.probes) ++probed_backends[b];
+  EXPECT_EQ(probed_backends.size(), 10u);
+  for (const auto& [b, n] : probed_backends) EXPECT_GE(n, 2) << b;
 }
 
-TEST(Probing, RelaysStartedTogetherAreOutOfStep) {
+TEST(Probing, BalancersThatStartTogetherProbeAtDifferentTimes) {
   std::set<Time> firsts;
   for (int seed = 0; seed < 20; ++seed) {
-    Relay relay(plain_settings(), seed);
-    relay.list_of(10);
-    while (relay.probes.empty()) relay.run_for(kMs);
-    firsts.insert(relay.now);
+    BalancerHarness harness(default_settings(), seed);
+    harness.send_full_list(10);
+    while (harness.probes.empty()) harness.advance(kMs);
+    firsts.insert(harness.now);
   }
   EXPECT_GT(firsts.size(), 10u);
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Backends that warm up.
+// Slow start of backends that warm up.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,80 +10,81 @@
 namespace marblehub::policy {
 namespace {
 
-// Many relays, one cold backend: together they must stay inside its budget, also when a crowd that came back
-// after a break brings many times the ordinary flow. The ordinary flow is 100 x 1 a second over ten backends.
-int sent_to_a_cold_backend(int crowd, bool others_down) {
-  Settings s = plain_settings();
+// Returns how many requests 100 balancers together send to a cold backend within two seconds. Each balancer
+// gets one request per second beforehand, and `burst` requests per 100 ms during the two seconds.
+int sent_to_a_cold_backend(int burst, bool others_down) {
+  Settings s = default_settings();
   s.balancers = 100;
   int cold = 0;
   for (int r = 0; r < 100; ++r) {
-    Relay relay(s, 1000 + r);
-    relay.list_of(10);
+    BalancerHarness harness(s, 1000 + r);
+    harness.send_full_list(10);
     for (int i = 0; i < 30; ++i) {
       std::uint64_t id = 0;
-      relay.place_and_open(&id);
-      relay.result(id, Outcome::served, true);
-      relay.run_for(kSec);
+      harness.open_connection(&id);
+      harness.result(id, Outcome::served, true);
+      harness.advance(kSec);
     }
     if (others_down) {
       for (int i = 1; i < 10; ++i) {
-        relay.silent.insert(name_of(i));
-        for (int k = 0; k < 3; ++k) relay.send(ProbeResultEvent{name_of(i), kMs, Outcome::timeout, {}});
+        harness.unresponsive.insert(address_of(i));
+        for (int k = 0; k < 3; ++k) harness.send(ProbeResultEvent{address_of(i), kMs, Outcome::timeout, {}});
       }
     }
-    relay.list({backend(0, Health::serving, relay.now)}, EndpointListKind::changes);
-    relay.submits.clear();
-    for (int i = 0; i < 20; ++i) {  // the two seconds of the window that counts
-      for (int k = 0; k < crowd; ++k) relay.request();
-      relay.run_for(100 * kMs);
+    harness.send_list({backend_entry(0, Health::serving, harness.now)}, EndpointListKind::changes);
+    harness.submits.clear();
+    for (int i = 0; i < 20; ++i) {  // two seconds
+      for (int k = 0; k < burst; ++k) harness.request();
+      harness.advance(100 * kMs);
     }
-    for (const Submit& submit : relay.submits) cold += submit.backend == "b0";
+    for (const Submit& submit : harness.submits) cold += submit.backend == "b0";
   }
   return cold;
 }
 
-TEST(Rules, ManyRelaysTogetherSpareAColdBackend) {
-  // It can do 10 a second when warm, a fifth of that now and less than half at the window's end.
-  for (int crowd : {1, 10}) {
-    EXPECT_LT(sent_to_a_cold_backend(crowd, false), 10 * 2 * 0.25 * 3) << crowd;
+TEST(SlowStart, ManyBalancersTogetherStayWithinTheCapacityOfAColdBackend) {
+  // Its capacity is 10 requests/s when warm, a fifth of that at the start and less than half after two
+  // seconds.
+  for (int burst : {1, 10}) {
+    EXPECT_LT(sent_to_a_cold_backend(burst, false), 10 * 2 * 0.25 * 3) << burst;
   }
 }
 
-TEST(Rules, AColdBackendAmongDownOnesStaysWithinItsPart) {
+TEST(SlowStart, AColdBackendStaysWithinItsCapacityIfAllOthersAreDown) {
   EXPECT_GT(sent_to_a_cold_backend(10, true), 0);
   EXPECT_LT(sent_to_a_cold_backend(10, true), 10 * 2 * 0.25 * 3);
 }
 
-TEST(SlowStart, AWarmBackendTakesItsFullPartAgain) {
-  Relay relay(plain_settings(), 3);
+TEST(SlowStart, ABackendGetsItsFullShareAfterTheWarmUp) {
+  BalancerHarness harness(default_settings(), 3);
   std::vector<BackendEntry> entries;
-  for (int i = 0; i < 4; ++i) entries.push_back(backend(i, Health::serving, i == 0 ? relay.now : 0));
-  relay.list(entries);
-  relay.run_for(11 * kSec);
-  int there = 0;
-  for (int i = 0; i < 400; ++i) relay.request(), there += relay.submits.back().backend == "b0";
-  EXPECT_GT(there, 60);
-  EXPECT_LT(there, 140);
+  for (int i = 0; i < 4; ++i) entries.push_back(backend_entry(i, Health::serving, i == 0 ? harness.now : 0));
+  harness.send_list(entries);
+  harness.advance(11 * kSec);
+  int on_b0 = 0;
+  for (int i = 0; i < 400; ++i) harness.request(), on_b0 += harness.submits.back().backend == "b0";
+  EXPECT_GT(on_b0, 60);
+  EXPECT_LT(on_b0, 140);
 }
 
-// A backend that was only cut off must not be held cold for its whole warm-up.
-TEST(SlowStart, ABackendBackFromDownIsWarmOnceTheListTellsOfNoRestart) {
-  Settings s = plain_settings();
+// A backend that was unreachable but did not restart must not be limited for the whole warm-up time.
+TEST(SlowStart, ARecoveredBackendIsWarmOnceTheListShowsNoRestart) {
+  Settings s = default_settings();
   s.warm_within_us = 60 * kSec;
-  Relay relay(s, 3);
-  relay.list_of(4);
-  relay.silent.insert("b0");
-  for (int k = 0; k < 3; ++k) relay.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
-  relay.silent.clear();
-  relay.send(ProbeResultEvent{"b0", kMs, Outcome::served, {}});
-  auto part = [&] {
-    int there = 0;
-    for (int i = 0; i < 400; ++i) relay.request(), there += relay.submits.back().backend == "b0";
-    return there;
+  BalancerHarness harness(s, 3);
+  harness.send_full_list(4);
+  harness.unresponsive.insert("b0");
+  for (int k = 0; k < 3; ++k) harness.send(ProbeResultEvent{"b0", kMs, Outcome::timeout, {}});
+  harness.unresponsive.clear();
+  harness.send(ProbeResultEvent{"b0", kMs, Outcome::served, {}});
+  auto requests_on_b0 = [&] {
+    int on_b0 = 0;
+    for (int i = 0; i < 400; ++i) harness.request(), on_b0 += harness.submits.back().backend == "b0";
+    return on_b0;
   };
-  EXPECT_LT(part(), 20);
-  relay.run_for(6 * kSec);
-  EXPECT_GT(part(), 60);
+  EXPECT_LT(requests_on_b0(), 20);
+  harness.advance(6 * kSec);
+  EXPECT_GT(requests_on_b0(), 60);
 }
 
 }  // namespace
