--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Long seeded runs of made-up traffic against the module, with a checker of the rules that shares no code
-// with it, and mangled wire text against the adapter. Steps and seeds are fixed.
+// Random traffic against the policy, checked by an independent model of the request rules, and corrupted
+// input for the adapter. Seeds and numbers of steps are fixed.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -13,32 +13,37 @@
 namespace marblehub::policy {
 namespace {
 
-struct Tried {
+/// An attempt as observed by the simulation.
+struct AttemptRecord {
   int backend = 0;
-  Time sent = 0;
-  bool out = true, may_have_run = true;
+  Time sent_at = 0;
+  bool in_flight = true, may_have_run = true;
 };
 
-struct Watched {
+/// A request as observed by the simulation.
+struct RequestRecord {
   RequestClass request_class;
   Time deadline = 0;
   bool answered = false, open = false;
-  std::vector<Tried> tries;
+  std::vector<AttemptRecord> attempts;
 };
 
-class World {
+/// Generates random events for one Balancer and checks each of its actions against the request rules.
+class Simulation {
  public:
-  explicit World(std::uint64_t seed) : random_(seed), balancer_(settings(), seed, now_) {
+  explicit Simulation(std::uint64_t seed) : random_(seed), balancer_(settings(), seed, now_) {
     list(EndpointListKind::cached);
   }
 
+  /// Runs the steps, lets all requests end and returns the sequence of actions.
   std::string run(int steps) {
     for (int i = 0; i < steps; ++i) step();
-    // Let everything end: no new requests, every attempt gets its result.
+    // No new requests; every attempt gets its result.
     for (int i = 0; i < 400; ++i) {
       now_ += 25'000;
-      for (auto& [id, w] : watched_)
-        if (!w.tries.empty() && w.tries.back().out && random_() % 4 == 0) end_attempt(id, w, Outcome::reset);
+      for (auto& [id, request] : requests_)
+        if (!request.attempts.empty() && request.attempts.back().in_flight && random_() % 4 == 0)
+          end_attempt(id, request, Outcome::reset);
       fire_timers();
       check_deadlines();
     }
@@ -79,7 +84,7 @@
     for (int b = 0; b < kBackends; ++b) {
       if (form == EndpointListKind::changes && random_() % 3) continue;
       Health health = random_() % 5 ? Health::serving : random_() % 2 ? Health::draining : Health::deleted;
-      usable_[b] = health == Health::serving;
+      serving_[b] = health == Health::serving;
       Time start = random_() % 4 ? 0 : now_ - static_cast<Time>(random_() % 1'000'000);
       entries.push_back({health, name(b), zone(b), start, 1.0 + static_cast<double>(random_() % 3), b / 2});
     }
@@ -89,68 +94,68 @@
   void send(const Event& event) {
     std::vector<Action> actions;
     balancer_.handle(now_, event, actions);
-    for (const Action& action : actions) carry_out(action);
+    for (const Action& action : actions) execute(action);
   }
 
-  Watched& alive(std::uint64_t id) {
-    EXPECT_TRUE(watched_.count(id));
-    EXPECT_FALSE(watched_[id].answered) << "something follows the final answer of " << id;
-    return watched_[id];
+  RequestRecord& find_unanswered(std::uint64_t id) {
+    EXPECT_TRUE(requests_.count(id));
+    EXPECT_FALSE(requests_[id].answered) << "an action follows the final answer of " << id;
+    return requests_[id];
   }
 
-  void carry_out(const Action& action) {
+  void execute(const Action& action) {
     if (auto* a = std::get_if<Submit>(&action)) {
-      Watched& w = alive(a->id);
+      RequestRecord& request = find_unanswered(a->id);
       int b = std::stoi(a->backend.substr(1));
       trace_ << "s" << a->id << ">" << b << " ";
-      EXPECT_TRUE(usable_[b]) << "sent to a draining or removed backend";
-      EXPECT_LT(w.tries.size(), 4u);
-      EXPECT_LE(a->deadline, w.deadline);
-      for (const Tried& t : w.tries) {
-        EXPECT_FALSE(t.out) << "two attempts at once";
+      EXPECT_TRUE(serving_[b]) << "submitted to a draining or deleted backend";
+      EXPECT_LT(request.attempts.size(), 4u);
+      EXPECT_LE(a->deadline, request.deadline);
+      for (const AttemptRecord& t : request.attempts) {
+        EXPECT_FALSE(t.in_flight) << "two concurrent attempts";
         if (!t.may_have_run) continue;
-        const RequestClass& c = w.request_class;
+        const RequestClass& c = request.request_class;
         EXPECT_NE(c.repeat, Repeat::unsafe);
         if (c.repeat != Repeat::keyed) continue;
-        EXPECT_LE(now_ - t.sent, c.dedup_window_us);
+        EXPECT_LE(now_ - t.sent_at, c.dedup_window_us);
         EXPECT_TRUE(c.dedup_scope != DedupScope::zone || zone(t.backend) == zone(b));
         EXPECT_TRUE(c.dedup_scope != DedupScope::cell || t.backend / 2 == b / 2);
       }
-      w.tries.push_back({b, now_});
+      request.attempts.push_back({b, now_});
     } else if (auto* d = std::get_if<Reject>(&action)) {
-      Watched& w = alive(d->id);
+      RequestRecord& request = find_unanswered(d->id);
       trace_ << "d" << d->id << " ";
-      for (const Tried& t : w.tries) {
+      for (const AttemptRecord& t : request.attempts) {
         if (!t.may_have_run) continue;
-        EXPECT_NE(w.request_class.repeat, Repeat::unsafe) << "refused though it may have run";
-        if (w.request_class.repeat == Repeat::keyed) {
-          EXPECT_EQ(w.request_class.dedup_scope, DedupScope::all);
+        EXPECT_NE(request.request_class.repeat, Repeat::unsafe) << "rejected although it may have run";
+        if (request.request_class.repeat == Repeat::keyed) {
+          EXPECT_EQ(request.request_class.dedup_scope, DedupScope::all);
         }
       }
-      w.answered = true;
+      request.answered = true;
     } else if (auto* f = std::get_if<Fail>(&action)) {
-      alive(f->id).answered = true;
+      find_unanswered(f->id).answered = true;
     } else if (auto* m = std::get_if<Redirect>(&action)) {
-      Watched& w = alive(m->id);
-      EXPECT_TRUE(w.open);
-      w.answered = true;
+      RequestRecord& request = find_unanswered(m->id);
+      EXPECT_TRUE(request.open);
+      request.answered = true;
     } else if (auto* p = std::get_if<Probe>(&action)) {
       probes_.push_back(p->backend);
     } else if (auto* t = std::get_if<SetTimer>(&action)) {
       timers_.emplace(now_ + t->after, t->cookie);
     } else {
-      tracks_ = true;
+      list_requested_ = true;
     }
   }
 
-  void end_attempt(std::uint64_t id, Watched& w, Outcome outcome) {
-    int attempt = static_cast<int>(w.tries.size()) - 1;
-    Tried& t = w.tries.back();
-    t.out = false;
-    bool was_answered = w.answered;
+  void end_attempt(std::uint64_t id, RequestRecord& request, Outcome outcome) {
+    int attempt = static_cast<int>(request.attempts.size()) - 1;
+    AttemptRecord& t = request.attempts.back();
+    t.in_flight = false;
+    bool was_answered = request.answered;
     if (outcome == Outcome::full || outcome == Outcome::connect_failed) t.may_have_run = false;
-    bool terminal = was_answered || w.open || outcome == Outcome::served;
-    if (terminal) w.answered = true;
+    bool terminal = was_answered || request.open || outcome == Outcome::served;
+    if (terminal) request.answered = true;
     send(ResultEvent{id, attempt, terminal, name(t.backend), 1000, outcome, {}});
   }
 
@@ -163,9 +168,9 @@
   }
 
   void check_deadlines() {
-    for (auto& [id, w] : watched_) {
-      if (!w.answered && !w.open) {
-        EXPECT_LT(now_, w.deadline + 50'000) << "no answer in time for " << id;
+    for (auto& [id, request] : requests_) {
+      if (!request.answered && !request.open) {
+        EXPECT_LT(now_, request.deadline + 50'000) << "no answer before the deadline of " << id;
       }
     }
   }
@@ -179,8 +184,8 @@
       Outcome outcome = random_() % 4 ? Outcome::served : Outcome::timeout;
       send(ProbeResultEvent{b, 500, outcome, {static_cast<double>(random_() % 12) / 10}});
     }
-    if (tracks_ && random_() % 3 == 0) {
-      tracks_ = false;
+    if (list_requested_ && random_() % 3 == 0) {
+      list_requested_ = false;
       if (random_() % 2) {
         send(EndpointListEvent{EndpointListKind::failed, nullptr});
       } else {
@@ -197,15 +202,15 @@
         e.request_class = static_cast<int>(random_() % 18);
         e.expires_in = 100'000 + static_cast<Time>(random_() % 1'500'000);
         e.load_hint = random_() % 2 ? static_cast<double>(random_() % 1000) : 0;
-        watched_[id] = {settings().classes[e.request_class], now_ + e.expires_in, false, false, {}};
+        requests_[id] = {settings().classes[e.request_class], now_ + e.expires_in, false, false, {}};
         send(e);
         break;
       }
-      case 3: {  // a connection handed over, or a nonsense event
+      case 3: {  // a handed over connection and an event for an unknown request
         std::uint64_t id = ++last_id_;
-        Watched w{settings().classes[0], now_, false, true, {}};
-        w.tries.push_back({2, now_});
-        watched_[id] = w;
+        RequestRecord request{settings().classes[0], now_, false, true, {}};
+        request.attempts.push_back({2, now_});
+        requests_[id] = request;
         send(HandoverEvent{{.id = id, .request_class = 0, .expires_in = 1}, name(2)});
         send(ResultEvent{id + 1000000, 0, false, name(1), 0, Outcome::timeout, {}});
         break;
@@ -214,35 +219,36 @@
         if (random_() % 20 == 0) list(random_() % 2 ? EndpointListKind::full : EndpointListKind::changes);
         break;
       default: {
-        if (watched_.empty()) break;
-        auto it = watched_.begin();
-        std::advance(it, random_() % watched_.size());
-        Watched& w = it->second;
-        if (w.tries.empty() || !w.tries.back().out) break;
+        if (requests_.empty()) break;
+        auto it = requests_.begin();
+        std::advance(it, random_() % requests_.size());
+        RequestRecord& request = it->second;
+        if (request.attempts.empty() || !request.attempts.back().in_flight) break;
         static constexpr Outcome outcomes[] = {Outcome::served,         Outcome::error, Outcome::full,
                                                Outcome::timeout,        Outcome::reset, Outcome::cancelled,
                                                Outcome::connect_failed, Outcome::full};
-        int attempt = static_cast<int>(w.tries.size()) - 1;
-        if (w.request_class.stream && !w.open && !w.answered && random_() % 2) {
-          w.open = true;
+        int attempt = static_cast<int>(request.attempts.size()) - 1;
+        if (request.request_class.stream && !request.open && !request.answered && random_() % 2) {
+          request.open = true;
           send(EstablishedEvent{it->first, attempt, 900});
-        } else if (w.open && random_() % 2) {
+        } else if (request.open && random_() % 2) {
           send(ConnectionUpdateEvent{
               it->first, attempt,
               random_() % 2 ? ConnectionUpdateKind::load_changed : ConnectionUpdateKind::messages_slow,
               static_cast<double>(random_() % 400)});
         } else if (random_() % 15 == 0) {
-          w.answered = true;
+          request.answered = true;
           send(ClientGoneEvent{it->first});
         } else {
-          end_attempt(it->first, w, outcomes[random_() % 8]);
+          end_attempt(it->first, request, outcomes[random_() % 8]);
         }
       }
     }
     check_deadlines();
-    if (watched_.size() > 300) {
-      std::erase_if(watched_, [](const auto& entry) {
-        return entry.second.answered && (entry.second.tries.empty() || !entry.second.tries.back().out);
+    if (requests_.size() > 300) {
+      std::erase_if(requests_, [](const auto& entry) {
+        return entry.second.answered &&
+               (entry.second.attempts.empty() || !entry.second.attempts.back().in_flight);
       });
     }
   }
@@ -250,31 +256,31 @@
   std::mt19937_64 random_;
   Time now_ = 1'000'000;
   Balancer balancer_;
-  std::map<std::uint64_t, Watched> watched_;
-  std::map<int, bool> usable_;
+  std::map<std::uint64_t, RequestRecord> requests_;
+  std::map<int, bool> serving_;
   std::multimap<Time, std::uint64_t> timers_;
   std::vector<std::string> probes_;
-  bool tracks_ = false;
+  bool list_requested_ = false;
   std::uint64_t last_id_ = 0;
   std::ostringstream trace_;
 };
 
-TEST(Fuzz, RandomTrafficKeepsTheRulesAndLeaksNothing) {
+TEST(Fuzz, RandomTrafficKeepsTheRulesAndLeavesNoState) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SCOPED_TRACE(seed);
-    World(seed).run(6000);
+    Simulation(seed).run(6000);
     if (HasFailure()) return;
   }
 }
 
-TEST(Fuzz, TheSameSeedReplaysToTheSameActions) {
-  std::string first = World(99).run(3000);
+TEST(Fuzz, TheSameSeedProducesTheSameActions) {
+  std::string first = Simulation(99).run(3000);
   EXPECT_FALSE(first.empty());
-  EXPECT_EQ(first, World(99).run(3000));
+  EXPECT_EQ(first, Simulation(99).run(3000));
 }
 
-TEST(Fuzz, MangledWireIsRefusedPlainlyOrServed) {
-  std::string good =
+TEST(Fuzz, CorruptedInputIsServedOrRejectedWithItsLine) {
+  std::string valid =
       "tick 1000000\nattach 3 99 balancers=2 me=0 zone=n registry_mode=ask limits.max_attempts=3 "
       "limits.probes=true "
       "limits.retry_after=true limits.max_retry_after_us=1000 limits.connect_timeout_us=250000 "
@@ -285,14 +291,14 @@
       "tick 1001000\nwork_item 3 77 1 - - - 12000 f 1800000\ngo\ntick 1002000\nfirst 3 77 a:70 0 900\ngo\n"
       "tick 1003000\ninterim 3 77 0 2 a:70 12.5\nping_result 3 a:70 5 S x0:1\ngo\n"
       "tick 1004000\nresult 3 77 0 1 a:70 3000 S x0:0.4\nhandover 3 5 f - - 100 9000 - 1 a:70\ngo\n";
-  adapter::Adapter whole;
-  std::istringstream whole_in(good);
-  std::ostringstream whole_out;
-  ASSERT_NO_THROW(whole.serve(whole_in, whole_out));
+  adapter::Adapter intact;
+  std::istringstream intact_in(valid);
+  std::ostringstream intact_out;
+  ASSERT_NO_THROW(intact.serve(intact_in, intact_out));
   std::mt19937_64 random(5);
-  int refused = 0;
+  int rejected = 0;
   for (int round = 0; round < 3000; ++round) {
-    std::string text = good;
+    std::string text = valid;
     for (std::size_t k = 0; k <= random() % 3; ++k) {
       std::size_t at = random() % text.size();
       switch (random() % 4) {
@@ -314,11 +320,11 @@
     try {
       adapter::Adapter().serve(in, out);
     } catch (const adapter::WireError& error) {
-      ++refused;
+      ++rejected;
       EXPECT_EQ(std::string(error.what()).rfind("line ", 0), 0u) << error.what();
     }
   }
-  EXPECT_GT(refused, 1000);
+  EXPECT_GT(rejected, 1000);
 }
 
 }  // namespace
