--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,4 +1,4 @@
-// What the module costs a decision, by the size of the fleet: a call asked for, established and ended again.
+// Cost of the decisions for one call (placement, establishment and end), by fleet size.
 #include <benchmark/benchmark.h>
 
 #include "marblehub/policy.h"
@@ -37,11 +37,11 @@
     request.expires_in = 3'000'000;
     request.group = state.range(1) != 0 ? id % 50 + 1 : 0;
     balancer.handle(now, request, actions);
-    std::string at;
+    std::string backend;
     for (const Action& action : actions)
-      if (auto* submit = std::get_if<Submit>(&action)) at = submit->backend;
+      if (auto* submit = std::get_if<Submit>(&action)) backend = submit->backend;
     balancer.handle(now, EstablishedEvent{id, 0, 3000}, actions);
-    balancer.handle(now, ResultEvent{id, 0, true, at, 3000, Outcome::served, {}}, actions);
+    balancer.handle(now, ResultEvent{id, 0, true, backend, 3000, Outcome::served, {}}, actions);
     id += 1;
   }
 }
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -1,29 +1,29 @@
-// What the module does about a worker that is about to go.
+// Moves of connections away from draining and deleted workers, and probes that follow a high load.
 #include <catch2/catch.hpp>
 
 #include "support/module_bench.h"
 
 namespace marblehub::test {
 
-TEST_CASE("all clients are told to move off a draining worker, evenly and in time") {
+TEST_CASE("all connections leave a draining worker at an even rate and in time") {
   Bench b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 60);
   b.hold("w2", 20);
   b.run(1'000'000);
   REQUIRE(b.moved.empty());
-  Time told = b.now;
+  Time listed_at = b.now;
   b.list(EndpointListKind::changes, {b.entry("w1", Health::draining)});
   b.run(5'000'000);
   REQUIRE(b.moved.size() == 60);
   for (auto [id, at] : b.moved) {
-    CHECK(id <= 60);  // those of the other worker stay
-    CHECK(at - told <= 4'100'000);
+    CHECK(id <= 60);  // connections of the other worker stay
+    CHECK(at - listed_at <= 4'100'000);
   }
   for (auto [second, count] : b.moves_this_second) CHECK(count <= 35);
 }
 
-TEST_CASE("a worker that is gone is left as well, and one that comes back is kept") {
+TEST_CASE("connections leave a deleted worker, and stay if draining is revoked") {
   Bench b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 10);
@@ -37,7 +37,7 @@
   CHECK(b.moved.size() == 10);
 }
 
-TEST_CASE("nobody is moved while there is nowhere to go") {
+TEST_CASE("no connection is moved if no worker is usable") {
   Bench b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 10);
@@ -46,15 +46,15 @@
   CHECK(b.moved.empty());
 }
 
-// Sockets tell nothing of slow messages: a worker that reports them late is looked at again soon.
-TEST_CASE("a late report brings the next probe within about a second, a good one does not") {
+// Slow messages may not be observable on a connection, so a report that implies them is checked again soon.
+TEST_CASE("a report of a high load triggers a probe within about a second, a low load does not") {
   for (double load : {0.95, 0.2}) {
     Bench b(dear_probes());
     b.list(EndpointListKind::full, twelve());
     b.hold("1", 10);
     b.run(20'000'000);
     b.handle(ProbeResultEvent{"1", 1000, Outcome::served, {0.2}});
-    b.run(200'000);  // the one that was due meanwhile goes out
+    b.run(200'000);  // sends the probe that is due
     Time at = b.now;
     b.probes.clear();
     b.handle(ProbeResultEvent{"1", 1000, Outcome::served, {load}});
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -1,4 +1,4 @@
-// Where the module places connections, and when it lets fewer in.
+// Placement of connections by the policy.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -8,6 +8,7 @@
 namespace marblehub::test {
 namespace {
 
+// Settings with groups.
 Settings grouped() {
   Settings s = Bench::settings();
   s.groups = true;
@@ -16,16 +17,17 @@
 
 }  // namespace
 
-// Each worker that holds any of a group pays for the group: scattered over all, groups cost more than
-// clients.
-TEST_CASE("a group keeps to a few workers, and all balancers come to the same ones") {
+// Each worker that holds a connection of a group pays the cost of the group, so a group must not spread over
+// the fleet.
+TEST_CASE("a group uses few workers, the same ones at all balancers") {
   std::map<std::uint64_t, std::set<std::string>> by_group;
   for (int me = 0; me < 3; ++me) {
     Settings s = grouped();
     s.balancers = 3, s.balancer_index = me;
     Bench b(s, 100 + static_cast<std::uint64_t>(me));
     b.list(EndpointListKind::full, twelve());
-    for (std::uint64_t group = 1; group <= 5; ++group) b.hold("1", 8, group);  // all groups are known
+    for (std::uint64_t group = 1; group <= 5; ++group)
+      b.hold("1", 8, group);  // connections of all groups are open
     for (int i = 0; i < 100; ++i) {
       std::uint64_t group = 1 + static_cast<std::uint64_t>(i) % 5;
       by_group[group].insert(b.ask(group));
@@ -33,37 +35,35 @@
   }
   for (auto& [group, workers] : by_group) {
     CHECK(workers.size() >= 2);
-    CHECK(workers.size() <= 5);  // of 12, though three balancers placed 60 of it
+    CHECK(workers.size() <= 5);  // of 12, for 60 connections from three balancers
   }
 }
 
-// A route names the workers that a call may use; which of them stays the module's choice, and a further
-// attempt keeps to them too.
-TEST_CASE("a call that may use some workers only goes to no other, and is refused when they are gone") {
+// A route restricts the workers of a call. The restriction must hold for retries too.
+TEST_CASE("a call restricted to some workers uses no other, and is rejected when they are gone") {
   Bench b;
   b.list(EndpointListKind::full, twelve());
-  auto only = std::make_shared<const std::set<std::string>>(std::set<std::string>{"3", "7"});
+  auto allowed = std::make_shared<const std::set<std::string>>(std::set<std::string>{"3", "7"});
   std::set<std::string> used;
   for (int i = 0; i < 60; ++i) {
     std::uint64_t id = b.next_id++;
-    b.handle(RequestEvent{id, 0, 2'000'000, 0, false, 0, only});
+    b.handle(RequestEvent{id, 0, 2'000'000, 0, false, 0, allowed});
     used.insert(b.placed[id]);
-    b.handle(ResultEvent{id, 0, false, b.placed[id], 1000, Outcome::full, {}});  // and once more
+    b.handle(ResultEvent{id, 0, false, b.placed[id], 1000, Outcome::full, {}});  // triggers a retry
     used.insert(b.placed[id]);
     b.run(500'000);
   }
   CHECK(used == std::set<std::string>{"3", "7"});
   b.list(EndpointListKind::changes, {b.entry("3", Health::deleted), b.entry("7", Health::draining)});
   std::uint64_t id = b.next_id++;
-  b.handle(RequestEvent{id, 0, 2'000'000, 0, false, 0, only});
+  b.handle(RequestEvent{id, 0, 2'000'000, 0, false, 0, allowed});
   b.run(2'000'000);
   CHECK(!b.placed.count(id));
   CHECK(std::count(b.rejected.begin(), b.rejected.end(), id) == 1);
 }
 
-// A pool that answers nothing fills its own limit of attempts at once. A call of another pool does not wait
-// for them, and one of the same pool does.
-TEST_CASE("calls of a pool that answers nothing hold no call of another pool back") {
+// An unresponsive pool exhausts only its own setup limit, so calls of other pools must not wait.
+TEST_CASE("calls of an unresponsive pool do not delay calls of another pool") {
   Bench b;
   b.list(EndpointListKind::full, workers(4));
   auto set = [](const char* one, const char* other) {
@@ -82,17 +82,17 @@
     b.handle(ResultEvent{id, 0, false, b.placed[id], 700'000, Outcome::timeout, {}});
   CHECK(!b.placed.count(ask(silent)));
   CHECK(b.placed.count(ask(lively)));
-  // News of the list make new sets of the same names: the failures and the limit, half of ten, hold for these
-  // too
+  // A new endpoint list creates new sets with the same names. The failures and the limit, half of ten, must
+  // apply to these too.
   const auto silent_anew = set("1", "2");
   b.placed.clear();
   for (int i = 0; i < 20; ++i) ask(silent_anew);
   CHECK(b.placed.empty());
-  b.run(1'500'000);  // the failures fade, and the limit stays
+  b.run(1'500'000);  // the failures decay, the limit remains
   CHECK(b.placed.size() == 5);
 }
 
-TEST_CASE("where the settings know of no groups, connections spread over all workers") {
+TEST_CASE("without groups in the settings, connections spread over all workers") {
   Bench b;
   b.list(EndpointListKind::full, twelve());
   std::set<std::string> workers;
@@ -100,14 +100,14 @@
   CHECK(workers.size() == 12);
 }
 
-TEST_CASE("a group whose workers are late or down goes on to others") {
+TEST_CASE("a group moves on to other workers if its own are overloaded") {
   Bench b(grouped());
   b.list(EndpointListKind::full, twelve());
   for (std::uint64_t group = 1; group <= 5; ++group) b.hold("1", 8, group);
   std::set<std::string> home, next;
   for (int i = 0; i < 60; ++i) home.insert(b.ask(3));
   for (const std::string& worker : home) b.report(worker, 0.97);
-  for (int i = 0; i < 10; ++i) next.insert(b.ask(3));  // more without a report would fill these as well
+  for (int i = 0; i < 10; ++i) next.insert(b.ask(3));  // few enough not to fill these workers too
   for (const std::string& worker : home) CHECK(next.count(worker) == 0);
   CHECK(next.count("") == 0);
 }
@@ -125,9 +125,8 @@
   CHECK(fuller <= 3);
 }
 
-// A worker that hangs answers probes beside its queue: it is not down, and was taken for a sign of a full
-// fleet.
-TEST_CASE("a stuck worker is left within seconds, and no client is refused for it") {
+// A hung worker still answers probes, so it is not marked down. It must not count as an overloaded fleet.
+TEST_CASE("connections leave a hung worker within seconds, and no call is rejected") {
   Bench b;
   b.list(EndpointListKind::full,
          {b.entry("w1", Health::serving), b.entry("w2", Health::serving), b.entry("w3", Health::serving)});
@@ -145,8 +144,8 @@
   CHECK(b.moved.size() == 10);
 }
 
-// A message that hung for half a minute must not shut its worker out for as long again.
-TEST_CASE("signs of slowness are bounded, and end when a worker comes back from being down") {
+// One very slow message must not exclude its worker for long.
+TEST_CASE("the delay of a worker is bounded, and cleared when it recovers from being down") {
   Bench b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.report("w1", 0.1);
@@ -171,15 +170,15 @@
   CHECK(again >= 20);
 }
 
-// A balancer without a free descriptor must not hold its own want against the workers.
-TEST_CASE("a probe that was never sent is no miss") {
+// A balancer without a free descriptor must not mark workers down.
+TEST_CASE("a probe that was not sent does not count as a miss") {
   Bench b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving)});
   for (int i = 0; i < 5; ++i) b.handle(ProbeResultEvent{"w1", 0, Outcome::not_sent, {}});
   CHECK(b.balancer.counts().down == 0);
 }
 
-TEST_CASE("the group of an opening line is the same number everywhere") {
+TEST_CASE("the group of an opening line maps to the same number at every balancer") {
   auto opening = net::opening_in("OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f6e1a2b3d4c59");
   REQUIRE(opening);
   CHECK(opening->group == "5c0f6e1a2b3d4c59");
