--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -95,7 +95,7 @@
   self.context.actions = nullptr;
 }
 
-void Balancer::set_balancer_count(int balancers) { impl_->prober.share_budget_by(balancers); }
+void Balancer::set_balancer_count(int balancers) { impl_->prober.set_balancer_count(balancers); }
 
 Balancer::Counts Balancer::counts() const {
   Counts counts = impl_->requests.counts();
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -23,6 +23,7 @@
     actions->emplace_back(std::in_place_type<Kind>, std::move(action));
   }
 
+  /// Time since the start.
   double uptime_seconds() const { return static_cast<double>(now - started_at) / kSecond; }
 
   Settings settings;
--- a/src/policy/health/prober.cpp
+++ b/src/policy/health/prober.cpp
@@ -57,7 +57,7 @@
   return requests * kProbeBudget / settings.price_probe - probes_sent_;
 }
 
-void Prober::share_budget_by(int balancers) {
+void Prober::set_balancer_count(int balancers) {
   double left = budget_left();
   context_.settings.balancers = balancers;
   probes_sent_ += budget_left() - left;
--- a/src/policy/health/prober.h
+++ b/src/policy/health/prober.h
@@ -28,14 +28,15 @@
   /// check succeeds.
   void count_miss(Backend& backend);
 
-  /// Schedules a check within kRecheckInterval, as the regular interval may be several minutes.
+  /// Schedules a check in about kRecheckInterval, unless one is due earlier. The regular interval may be
+  /// several minutes.
   void schedule_recheck(Backend& backend);
 
   /// Remaining budget in probes. Every probe is charged, including rechecks. Negative if overdrawn.
   double budget_left() const;
 
   /// Changes the number of balancers that share the fleet's budget. The current remaining budget is kept.
-  void share_budget_by(int balancers);
+  void set_balancer_count(int balancers);
 
  private:
   Time interval() const;
--- a/src/policy/requests/request_handler.cpp
+++ b/src/policy/requests/request_handler.cpp
@@ -14,7 +14,8 @@
 constexpr Time kReportWaitTime = 30 * kMillisecond;
 constexpr Time kMaxReportAge = 2 * kSecond;
 constexpr Time kMaxReportAgeWarming = 300 * kMillisecond;  // of a warming backend
-// Upper bound of the connections that all balancers together send to a backend between two reports.
+// Maximum number of connections that all balancers together are assumed to send to a backend between two
+// reports.
 constexpr double kMaxSentBetweenReports = 3;
 // Delay assumed for a backend that has reset a connection, in objectives.
 constexpr double kResetDelayObjectives = 2;
--- a/tests/policy/discovery_test.cpp
+++ b/tests/policy/discovery_test.cpp
@@ -64,8 +64,8 @@
   std::size_t timers = harness.timers.size();
   harness.send(TimerEvent{123});
   EXPECT_EQ(harness.timers.size(), timers) << "a timer of another cookie schedules nothing";
-  harness.send(ProbeResultEvent{"nobody", kMs, Outcome::timeout, {}});
-  harness.send(HandoverEvent{{.id = 9}, "nobody"});
+  harness.send(ProbeResultEvent{"unknown", kMs, Outcome::timeout, {}});
+  harness.send(HandoverEvent{{.id = 9}, "unknown"});
   harness.send(RequestEvent{.id = 10, .request_class = 4, .expires_in = kSec});
   EXPECT_EQ(harness.submits.size() + harness.final_answers() + harness.redirects.size(), 0u);
   EXPECT_EQ(harness.balancer.counts().open + harness.balancer.counts().unanswered, 0u);
