--- a/src/quic/inline_bytes.h
+++ b/src/quic/inline_bytes.h
@@ -1,6 +1,5 @@
-// Short strings of octets that live in place, for what the established path handles without allocating:
-// connection ids (at most 20 octets, RFC 9000, 17.2) and server ids (at most 15,
-// draft-ietf-quic-load-balancers, section 3).
+// Short byte strings without heap allocation, for connection ids (at most 20 bytes; RFC 9000, 17.2), server
+// ids (at most 15 bytes; draft-ietf-quic-load-balancers, section 3) and the keys of hash tables.
 #pragma once
 
 #include <xxhash.h>
@@ -15,13 +14,14 @@
 
 namespace marblehub::quic {
 
+/// A byte string of at most N bytes that is stored inside the object.
 template <std::size_t N>
 class InlineBytes {
  public:
   InlineBytes() = default;
-  // Throws std::length_error over N octets: callers have checked lengths that come from outside.
+  /// Throws std::length_error for more than N bytes; callers check the lengths of untrusted input before.
   InlineBytes(std::string_view from) : size_(static_cast<std::uint8_t>(from.size())) {
-    if (from.size() > N) throw std::length_error("octets");
+    if (from.size() > N) throw std::length_error("byte string is longer than its fixed capacity");
     if (!from.empty()) std::memcpy(bytes_.data(), from.data(), from.size());
   }
   InlineBytes(const std::string& from) : InlineBytes(std::string_view(from)) {}
@@ -46,18 +46,21 @@
 using ConnectionId = InlineBytes<20>;
 using ServerId = InlineBytes<15>;
 
-// Ids and addresses come from strangers, who could otherwise choose them so that they all fall into one
-// bucket: the hash has a secret that is new with each start.
+/// The seed of hash_bytes, drawn at random once in each process: without it, peers could choose connection
+/// ids and addresses that collide in the hash tables.
 std::uint64_t hash_secret();
 
+/// XXH3 of the bytes, seeded with hash_secret().
 inline std::size_t hash_bytes(std::string_view bytes) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), hash_secret());
 }
 
+/// Hash of byte strings for unordered containers with lookup by std::string_view.
 struct BytesHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view bytes) const { return hash_bytes(bytes); }
 };
+/// Equality of byte strings for unordered containers with lookup by std::string_view.
 struct BytesEqual {
   using is_transparent = void;
   bool operator()(std::string_view a, std::string_view b) const { return a == b; }
--- a/src/quic/packet.cpp
+++ b/src/quic/packet.cpp
@@ -5,7 +5,7 @@
 namespace marblehub::quic {
 namespace {
 
-std::uint8_t octet(char c) { return static_cast<std::uint8_t>(c); }
+std::uint8_t byte(char c) { return static_cast<std::uint8_t>(c); }
 
 std::optional<std::string_view> take(std::string_view& bytes, std::uint64_t size) {
   if (bytes.size() < size) return std::nullopt;
@@ -17,31 +17,32 @@
 std::optional<std::string_view> take_id(std::string_view& bytes) {
   auto length = take(bytes, 1);
   if (!length) return std::nullopt;
-  return take(bytes, octet((*length)[0]));
+  return take(bytes, byte((*length)[0]));
 }
 
 }  // namespace
 
 std::optional<std::uint64_t> consume_varint(std::string_view& bytes) {
   if (bytes.empty()) return std::nullopt;
-  std::size_t size = std::size_t{1} << (octet(bytes[0]) >> 6);
+  std::size_t size = std::size_t{1} << (byte(bytes[0]) >> 6);
   auto part = take(bytes, size);
   if (!part) return std::nullopt;
-  std::uint64_t value = octet((*part)[0]) & 0x3f;
-  for (std::size_t i = 1; i < size; ++i) value = value << 8 | octet((*part)[i]);
+  std::uint64_t value = byte((*part)[0]) & 0x3f;
+  for (std::size_t i = 1; i < size; ++i) value = value << 8 | byte((*part)[i]);
   return value;
 }
 
 void put_varint(std::string& out, std::uint64_t value) {
-  int width = value < 0x40 ? 0 : value < 0x4000 ? 1 : value < 0x40000000 ? 2 : 3;
+  int size_bits = value < 0x40 ? 0 : value < 0x4000 ? 1 : value < 0x40000000 ? 2 : 3;
   std::size_t at = out.size();
-  for (int shift = 8 * ((1 << width) - 1); shift >= 0; shift -= 8) out += static_cast<char>(value >> shift);
-  out[at] = static_cast<char>(octet(out[at]) | width << 6);
+  for (int shift = 8 * ((1 << size_bits) - 1); shift >= 0; shift -= 8)
+    out += static_cast<char>(value >> shift);
+  out[at] = static_cast<char>(byte(out[at]) | size_bits << 6);
 }
 
 namespace {
 
-// RFC 9000, 17.2, table 5, and RFC 9369, 3.2: version 2 turns the four types by one.
+// RFC 9000, 17.2, table 5, and RFC 9369, 3.2: version 2 rotates the values of the four types by one.
 constexpr PacketType kLongHeaderTypes[] = {PacketType::initial, PacketType::zero_rtt, PacketType::handshake,
                                            PacketType::retry};
 
@@ -62,7 +63,7 @@
 
 std::optional<Header> parse(std::string_view datagram) {
   if (datagram.empty()) return std::nullopt;
-  std::uint8_t first = octet(datagram[0]);
+  std::uint8_t first = byte(datagram[0]);
   Header header;
   header.packet = datagram;
   header.fixed_bit = (first & 0x40) != 0;
@@ -74,7 +75,7 @@
   }
   auto version = take(rest, 4);
   if (!version) return std::nullopt;
-  for (char c : *version) header.version = header.version << 8 | octet(c);
+  for (char c : *version) header.version = header.version << 8 | byte(c);
   auto destination = take_id(rest);
   auto source = destination ? take_id(rest) : std::nullopt;
   if (!source) return std::nullopt;
@@ -99,8 +100,8 @@
     if (!token) return std::nullopt;
     header.token = *token;
   }
-  // The length covers the packet number and the payload; 20 octets are the least that header protection
-  // needs.
+  // The length covers the packet number and the payload; header protection samples 16 bytes behind the first
+  // 4, so that 20 bytes are the minimum (RFC 9001, 5.4.2).
   auto length = consume_varint(rest);
   if (!length || *length < 20 || *length > rest.size()) return std::nullopt;
   header.packet = datagram.substr(0, datagram.size() - rest.size() + static_cast<std::size_t>(*length));
@@ -109,18 +110,18 @@
 
 std::size_t same_connection_length(std::string_view datagram, const Header& first) {
   if (first.type == PacketType::short_header || first.type == PacketType::retry) return datagram.size();
-  std::size_t sound = first.packet.size();
-  while (sound < datagram.size()) {
-    std::string_view rest = datagram.substr(sound);
+  std::size_t prefix_length = first.packet.size();
+  while (prefix_length < datagram.size()) {
+    std::string_view rest = datagram.substr(prefix_length);
     auto next = parse(rest);
     if (!next || (next->type == PacketType::short_header && !next->fixed_bit))
-      return datagram.size();  // padding outside of packets, which receivers pass over
+      return datagram.size();  // padding outside of packets, which receivers ignore
     if (next->type == PacketType::short_header)
-      return next->destination.starts_with(first.destination) ? datagram.size() : sound;
-    if (next->version != first.version || next->destination != first.destination) return sound;
-    sound += next->packet.size();
+      return next->destination.starts_with(first.destination) ? datagram.size() : prefix_length;
+    if (next->version != first.version || next->destination != first.destination) return prefix_length;
+    prefix_length += next->packet.size();
   }
-  return sound;
+  return prefix_length;
 }
 
 std::string version_negotiation(const Header& header, const std::vector<std::uint32_t>& versions) {
@@ -131,8 +132,8 @@
   out += static_cast<char>(header.destination.size());
   out += header.destination;
   for (std::uint32_t version : versions) put_u32(out, version);
-  // Drawn from the client's id, so that not every answer has the same one.
-  std::uint32_t salt = header.destination.empty() ? 0 : octet(header.destination.back());
+  // The reserved version varies with the client's connection id.
+  std::uint32_t salt = header.destination.empty() ? 0 : byte(header.destination.back());
   std::uint32_t reserved = 0x0a0a0a0au | (salt & 0xf0u) << 24 | (salt & 0x0fu) << 20;
   if (reserved == header.version) reserved ^= 0xf000u;
   put_u32(out, reserved);
@@ -141,7 +142,7 @@
 
 std::string hex(std::string_view bytes) {
   std::string out;
-  for (char c : bytes) out += fmt::format("{:02x}", octet(c));
+  for (char c : bytes) out += fmt::format("{:02x}", byte(c));
   return out;
 }
 
