--- a/src/quic/endpoint.cpp
+++ b/src/quic/endpoint.cpp
@@ -32,17 +32,17 @@
 
 socklen_t Endpoint::write(sockaddr_in6& out) const {
   out = {};
-  std::string_view where = address();
-  if (where.size() == 16) {
+  std::string_view ip = address();
+  if (ip.size() == 16) {
     out.sin6_family = AF_INET6;
     out.sin6_port = htons(port());
-    std::memcpy(&out.sin6_addr, where.data(), 16);
+    std::memcpy(&out.sin6_addr, ip.data(), 16);
     return sizeof out;
   }
   sockaddr_in a{};
   a.sin_family = AF_INET;
   a.sin_port = htons(port());
-  std::memcpy(&a.sin_addr, where.data(), where.size());
+  std::memcpy(&a.sin_addr, ip.data(), ip.size());
   std::memcpy(&out, &a, sizeof a);
   return sizeof a;
 }
@@ -53,13 +53,13 @@
   auto port = config::parse_number<std::uint16_t>(text.substr(colon + 1));
   std::string host(text.substr(0, colon));
   if (!port || *port == 0) return std::nullopt;
-  char octets[16];
+  char raw[16];
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
-    if (inet_pton(AF_INET6, host.substr(1, host.size() - 2).c_str(), octets) != 1) return std::nullopt;
-    return from(std::string_view(octets, 16), *port);
+    if (inet_pton(AF_INET6, host.substr(1, host.size() - 2).c_str(), raw) != 1) return std::nullopt;
+    return from(std::string_view(raw, 16), *port);
   }
-  if (inet_pton(AF_INET, host.c_str(), octets) != 1) return std::nullopt;
-  return from(std::string_view(octets, 4), *port);
+  if (inet_pton(AF_INET, host.c_str(), raw) != 1) return std::nullopt;
+  return from(std::string_view(raw, 4), *port);
 }
 
 std::uint16_t Endpoint::port() const {
