--- a/src/quic/initial.h
+++ b/src/quic/initial.h
@@ -1,5 +1,5 @@
-// The protection of Initial packets (RFC 9001, 5; RFC 9369, 3.3 for version 2), so that a call that ends
-// before a worker took it ends with a real CONNECTION_CLOSE instead of silence.
+// Protection of Initial packets (RFC 9001, 5; RFC 9369, 3.3 for version 2), with which the QUIC front sends a
+// CONNECTION_CLOSE for a call that ends before a worker has accepted it.
 #pragma once
 
 #include <optional>
@@ -12,20 +12,23 @@
 
 constexpr std::uint64_t kConnectionRefused = 0x02, kInvalidToken = 0x0b;  // RFC 9000, 20.1
 
+/// The packet protection key, IV and header protection key of one direction (RFC 9001, 5.1).
 struct InitialKeys {
   std::string key, iv, hp;
 };
-// Of one side, from the id that the client's first Initial was sent to.
+/// Derives the keys of the server or the client from the destination connection id of the client's first
+/// Initial.
 InitialKeys initial_keys(std::string_view first_destination, bool server, std::uint32_t version = kVersion1);
 
-// An Initial packet with these frames, protected.
+/// A protected Initial packet with these frames.
 std::string seal_initial(const InitialKeys& keys, std::string_view destination, std::string_view source,
                          std::uint32_t packet_number, std::string_view frames,
                          std::uint32_t version = kVersion1, std::string_view token = "");
-// The frames of an Initial packet; none where it is not authentic.
+/// The frames of the Initial packet at the start of a datagram; none where it is no Initial or not authentic.
 std::optional<std::string> open_initial(const InitialKeys& keys, std::string_view datagram);
 
-// What a server sends to end a connection that it has not begun; `client` needs version and ids only.
+/// An Initial packet of a server with a CONNECTION_CLOSE frame, in reply to the client's packet `client`, of
+/// which version and connection ids are read. Its source connection id is random and unroutable.
 std::string connection_close_packet(const Header& client, std::uint64_t error, std::string_view reason);
 
 }  // namespace marblehub::quic
