--- a/src/quic/settings.cpp
+++ b/src/quic/settings.cpp
@@ -22,8 +22,8 @@
   return *bytes;
 }
 
-// A key stands in the file itself or, so that the file may be read by more people than the key, in one of its
-// own. What others can read is no key any more.
+// A key is given in the file itself or in a file of its own, named by "<key>_file", so that the settings can
+// be readable to users who must not read the key. A key file with permissions for group or others is refused.
 std::string key_at(const config::Options& options, const std::string& key, const std::string& folder) {
   const std::string* name = options.find(key + "_file");
   if (!name || name->empty()) return hex_at(options, key);
@@ -47,9 +47,9 @@
   std::vector<std::uint32_t> versions;
   for (std::size_t at = 0; at <= text.size();) {
     std::size_t end = std::min(text.find(',', at), text.size());
-    std::string_view one = std::string_view(text).substr(at, end - at);
-    if (one != "1" && one != "2") options.refuse("versions", "a list of 1 and 2");
-    versions.push_back(one == "1" ? kVersion1 : kVersion2);
+    std::string_view version = std::string_view(text).substr(at, end - at);
+    if (version != "1" && version != "2") options.refuse("versions", "a list of 1 and 2");
+    versions.push_back(version == "1" ? kVersion1 : kVersion2);
     at = end + 1;
   }
   return versions;
@@ -107,7 +107,7 @@
     IdConfig config = id_config_at(options, path, folder);
     for (const IdConfig& other : s.ids)
       if (other.rotation == config.rotation)
-        options.refuse(path + "rotation", "one that no other config has");
+        options.refuse(path + "rotation", "a rotation that no other config has");
     s.ids.push_back(std::move(config));
   }
   s.retirement_period =
@@ -118,48 +118,50 @@
     options.refuse("reset.key", "32 hexadecimal digits or more");
   s.resets_per_second = options.number_or<double>("reset.per_second", 1, s.resets_per_second);
   count = options.number_or<std::size_t>("workers.count", 0, 0);
-  std::map<std::string, std::string> given;
+  std::map<std::string, std::string> worker_by_id;
   for (std::size_t i = 0; i < count; ++i) {
     std::string path = "workers." + std::to_string(i) + ".";
     std::string name = options.text(path + "name"), id = hex_at(options, path + "server_id");
     std::string address = text_or(options, path + "address");
     if (!address.empty() && !Endpoint::parse(address))
       options.refuse(path + "address", "a.b.c.d:port or [ipv6]:port");
-    if (!id.empty() && !given.emplace(id, name).second)
-      options.refuse(path + "server_id", "one that " + given[id] + " does not have");
+    if (!id.empty() && !worker_by_id.emplace(id, name).second)
+      options.refuse(path + "server_id", "a server id that " + worker_by_id[id] + " does not have");
     if (!s.workers.emplace(name, QuicSettings::Worker{id, address}).second)
-      options.refuse(path + "name", "a worker that is not named above");
+      options.refuse(path + "name", "a name that no earlier entry has");
   }
   return s;
 }
 
 std::string server_id_of(const QuicSettings& settings, const std::string& worker, const IdConfig& config) {
-  auto own = settings.workers.find(worker);
-  bool given = own != settings.workers.end() && own->second.server_id.size() == config.server_id_length;
-  return given ? own->second.server_id : default_server_id(worker, config.server_id_length);
+  auto worker_settings = settings.workers.find(worker);
+  bool configured = worker_settings != settings.workers.end() &&
+                    worker_settings->second.server_id.size() == config.server_id_length;
+  return configured ? worker_settings->second.server_id : default_server_id(worker, config.server_id_length);
 }
 
 std::vector<std::string> server_id_conflicts(const QuicSettings& settings,
                                              const std::vector<std::string>& workers) {
-  std::vector<std::string> found;
+  std::vector<std::string> conflicts;
   for (std::size_t i = 0; i < settings.ids.size(); ++i) {
     const IdConfig& config = settings.ids[i];
     std::string key = fmt::format("ids.{}.server_id_length", i);
     if (config.server_id_length == 1 && workers.size() > 256) {
-      found.push_back(fmt::format("{}: 1 octet tells 256 workers apart; there are {}", key, workers.size()));
+      conflicts.push_back(fmt::format("{}: a server id of 1 byte distinguishes 256 workers; there are {}",
+                                      key, workers.size()));
       continue;
     }
-    std::map<std::string, std::string> taken;
+    std::map<std::string, std::string> worker_by_id;
     for (const std::string& worker : workers) {
-      auto [it, fresh] = taken.emplace(server_id_of(settings, worker, config), worker);
-      if (!fresh && it->second != worker)
-        found.push_back(fmt::format(
-            "{}: {} and {} come to the same server id; a longer one, or one of their own under workers, "
-            "tells them apart",
-            key, it->second, worker));
+      auto [it, inserted] = worker_by_id.emplace(server_id_of(settings, worker, config), worker);
+      if (!inserted && it->second != worker)
+        conflicts.push_back(
+            fmt::format("{}: {} and {} have the same server id; use longer server ids or configure different "
+                        "ones under workers",
+                        key, it->second, worker));
     }
   }
-  return found;
+  return conflicts;
 }
 
 std::vector<std::string> needs_restart(const QuicSettings& in_force, const QuicSettings& reloaded) {
--- a/tests/quic/quic_settings_test.cpp
+++ b/tests/quic/quic_settings_test.cpp
@@ -106,7 +106,7 @@
           R"("endpoints": [{"name": "g-1", "status": "ready"}, {"name": "g-2", "status": "ready"}])");
   config::Findings findings = config::check(start, config::FileKind::start, folder);
   REQUIRE(findings.errors.size() == 1);
-  CHECK(findings.errors[0].find("come to the same server id") != std::string::npos);
+  CHECK(findings.errors[0].find("have the same server id") != std::string::npos);
   std::filesystem::remove_all(folder);
 }
 
