--- a/bench/quic_parts_bench.cpp
+++ b/bench/quic_parts_bench.cpp
@@ -1,4 +1,4 @@
-// What the second front's parts cost, on Google Benchmark: build-test/quic_parts_bench
+// Benchmarks of the QUIC front's parsers and cryptography, on Google Benchmark: build-test/quic_parts_bench
 #include <benchmark/benchmark.h>
 
 #include "quic/connection_id.h"
--- a/fuzz/quic_fuzz.cpp
+++ b/fuzz/quic_fuzz.cpp
@@ -1,4 +1,5 @@
-// libFuzzer: clang++ builds it where MARBLEHUB_FUZZ is on; see docs/quic.md.
+// The libFuzzer entry point for the QUIC parsers, built with clang++ if MARBLEHUB_FUZZ is on; see
+// docs/quic.md.
 #include "quic_parsers.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
--- a/fuzz/quic_parsers.h
+++ b/fuzz/quic_parsers.h
@@ -1,6 +1,5 @@
-// Everything of the second front that reads octets from strangers, in one call: for libFuzzer and for the
-// short run in CI. A parser that reads past its input is the sanitizers' to find; what it says is checked
-// here.
+// Runs every parser of the QUIC front that reads untrusted bytes, for libFuzzer and for the mutation test.
+// The sanitizers detect reads beyond the input; the results are checked here.
 #pragma once
 
 #include <cstdlib>
@@ -14,10 +13,12 @@
 
 namespace marblehub::quic {
 
-inline void demand(bool holds) {
+/// Aborts if a condition does not hold, which libFuzzer reports as a crash.
+inline void check(bool holds) {
   if (!holds) std::abort();
 }
 
+/// Passes `bytes` to every parser and aborts if a result is inconsistent with the input.
 inline void parse_all(std::string_view bytes) {
   static const IdCodec codec({{0, 4, 6, ""},
                               {1, 4, 12, std::string(16, 'a')},
@@ -35,33 +36,33 @@
            (part.data() >= whole.data() && part.data() + part.size() <= whole.data() + whole.size());
   };
   if (auto header = parse(bytes)) {
-    demand(within(header->destination, bytes) && within(header->source, bytes) &&
-           within(header->token, bytes) && within(header->packet, bytes));
-    std::size_t sound = same_connection_length(bytes, *header);
-    demand(sound <= bytes.size() &&
-           (header->type == PacketType::version_negotiation || sound >= header->packet.size()));
+    check(within(header->destination, bytes) && within(header->source, bytes) &&
+          within(header->token, bytes) && within(header->packet, bytes));
+    std::size_t accepted_length = same_connection_length(bytes, *header);
+    check(accepted_length <= bytes.size() &&
+          (header->type == PacketType::version_negotiation || accepted_length >= header->packet.size()));
     bool known = header->type != PacketType::short_header &&
                  header->type != PacketType::version_negotiation &&
                  header->type != PacketType::unsupported_version;
     if (known)
-      demand(header->destination.size() <= kMaxConnectionIdLength &&
-             header->source.size() <= kMaxConnectionIdLength);
+      check(header->destination.size() <= kMaxConnectionIdLength &&
+            header->source.size() <= kMaxConnectionIdLength);
     if (header->type == PacketType::initial) {
       open_initial(keys, bytes);
       validation.validate(*header, client, now);
     }
     if (header->type == PacketType::retry) retry_is_authentic(bytes, "original");
     if (header->type == PacketType::unsupported_version)
-      demand(version_negotiation(*header, {kVersion1}).size() <= bytes.size() + 16);
+      check(version_negotiation(*header, {kVersion1}).size() <= bytes.size() + 16);
   }
   for (bool exact : {false, true})
     if (auto id = codec.decode(bytes, exact)) {
-      demand(within(id->id, bytes));
-      demand(codec.nonce_of(*id).size() + id->server_id.size() + 1 == id->id.size());
+      check(within(id->id, bytes));
+      check(codec.nonce_of(*id).size() + id->server_id.size() + 1 == id->id.size());
     }
   sealer.open(bytes, client, now);
   std::string_view rest = bytes;
-  if (consume_proxy_header(rest)) demand(rest.size() < bytes.size() && within(rest, bytes));
+  if (consume_proxy_header(rest)) check(rest.size() < bytes.size() && within(rest, bytes));
   rest = bytes;
   while (consume_varint(rest)) {
   }
--- a/tests/quic_mutation_test.cpp
+++ b/tests/quic_mutation_test.cpp
@@ -1,4 +1,5 @@
-// A million mutated datagrams through every parser of the second front; .ci/run does it under the sanitizers.
+// Guards against parsers of the QUIC front that read beyond malformed datagrams; .ci/run builds it with the
+// sanitizers.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -6,7 +7,7 @@
 
 namespace marblehub::test {
 
-TEST_CASE("every parser takes a million mutated datagrams", "[mutation]") {
+TEST_CASE("every parser handles a million mutated datagrams", "[mutation]") {
   using namespace quic;
   InitialKeys keys = initial_keys("destination", false);
   std::vector<std::string> seeds;
@@ -33,9 +34,9 @@
   initial.destination = "original id";
   initial.version = kVersion1;
   seeds.push_back(validation.make_retry(initial, four, 1'700'000'000'000'000));
-  std::size_t sound = 0;
-  for (const std::string& seed : seeds) sound += parse(seed).has_value();
-  REQUIRE(sound >= seeds.size() - 3);  // the seeds are what they are to be
+  std::size_t parsed = 0;
+  for (const std::string& seed : seeds) parsed += parse(seed).has_value();
+  REQUIRE(parsed >= seeds.size() - 3);  // all but those with a PROXY header in front
 
   std::mt19937_64 random(20261201);
   auto below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
@@ -61,11 +62,11 @@
           break;
       }
     }
-    // At its exact size on the heap, so that one octet too far is seen.
+    // A heap copy of exact size, in which AddressSanitizer detects a read one byte beyond the end.
     std::vector<char> exact(bytes.begin(), bytes.end());
     parse_all({exact.data(), exact.size()});
   }
-  SUCCEED("no parser went past its input");
+  SUCCEED("no parser read beyond its input");
 }
 
 }  // namespace marblehub::test
