--- a/tests/quic/front_test.cpp
+++ b/tests/quic/front_test.cpp
@@ -1,6 +1,6 @@
 // The second front: its parts against public test vectors, and the whole path with stand-in QUIC peers that
 // change their addresses under load while a worker drains.
-#include "quic/scene.h"
+#include "quic/testbed.h"
 
 namespace marblehub::test {
 
