--- a/tests/quic_mutation_test.cpp
+++ b/tests/quic_mutation_test.cpp
@@ -17,14 +17,14 @@
     seeds.push_back(retry_packet(version, "destination", "source", "token", "original"));
   }
   seeds.push_back(seeds[0] + seal_initial(keys, "destination", "source", 1, std::string(60, '\0')));
-  Header unknown;
-  unknown.destination = "destination";
-  unknown.source = "source";
-  seeds.push_back(version_negotiation(unknown, {kVersion1, kVersion2}));
+  Header unsupported_header;
+  unsupported_header.destination = "destination";
+  unsupported_header.source = "source";
+  seeds.push_back(version_negotiation(unsupported_header, {kVersion1, kVersion2}));
   std::array<char, kMaxProxyHeaderSize> out;
-  Endpoint four = *Endpoint::parse("127.0.0.1:1"), six = *Endpoint::parse("[::1]:1");
-  for (const ProxyHeader& header : {ProxyHeader{false, four, four, "original", "retry"},
-                                    {false, six, six, {}, {}},
+  Endpoint ipv4 = *Endpoint::parse("127.0.0.1:1"), ipv6 = *Endpoint::parse("[::1]:1");
+  for (const ProxyHeader& header : {ProxyHeader{false, ipv4, ipv4, "original", "retry"},
+                                    {false, ipv6, ipv6, {}, {}},
                                     {true, {}, {}, {}, {}}})
     seeds.push_back(std::string(out.data(), write_proxy_header(out, header)) + seeds[0]);
   seeds.push_back("\x40" + IdCodec({{1, 4, 12, std::string(16, 'a')}}).encode(1, "WXYZ", "twelve octet") +
@@ -33,7 +33,7 @@
   Header initial;
   initial.destination = "original id";
   initial.version = kVersion1;
-  seeds.push_back(validation.make_retry(initial, four, 1'700'000'000'000'000));
+  seeds.push_back(validation.make_retry(initial, ipv4, 1'700'000'000'000'000));
   std::size_t parsed = 0;
   for (const std::string& seed : seeds) parsed += parse(seed).has_value();
   REQUIRE(parsed >= seeds.size() - 3);  // all but those with a PROXY header in front
