--- a/tests/quic/parts.h
+++ b/tests/quic/parts.h
@@ -1,4 +1,4 @@
-// What the tests of the second front's parts have in common.
+// Helpers shared by the tests of the QUIC front's components.
 #pragma once
 
 #include <fmt/format.h>
@@ -28,10 +28,12 @@
 
 inline constexpr std::int64_t kSecond = 1'000'000, kStart = 1'700'000'000 * kSecond;
 
+/// The bytes of a hexadecimal text.
 inline std::string bytes(std::string_view text) { return *unhex(text); }
 
 inline Endpoint at(const char* text) { return *Endpoint::parse(text); }
 
+/// The header of an Initial with these fields.
 inline Header initial_of(std::string_view destination, std::string_view token = "",
                          std::uint32_t version = kVersion1) {
   Header header;
@@ -43,7 +45,7 @@
   return header;
 }
 
-// The Retry that a client gets, taken apart as a client would.
+/// A Retry packet and its source id and token, parsed as a client does.
 struct Retried {
   Retried(AddressValidation& validation, const Header& initial, const Endpoint& from, std::int64_t now)
       : packet(validation.make_retry(initial, from, now)) {
@@ -57,6 +59,7 @@
   std::string packet, id, token;
 };
 
+/// Writes a temporary file with this mode and returns its path; the caller removes it.
 inline std::string temporary(const std::string& text, mode_t mode) {
   char path[] = "/tmp/marblehub-key-XXXXXX";
   ::close(mkstemp(path));
@@ -65,16 +68,19 @@
   return path;
 }
 
+/// A valid quic.json; %s stands for further settings.
 inline constexpr std::string_view kFile =
     R"({"enabled": true, "listen": "127.0.0.1:7443", "class": "telemetry",
   "deadline_ms": 3000, "idle_ms": 30000, "calls": 512, "paths": 512,
   "ids": [{"rotation": 0, "server_id_length": 4, "nonce_length": 6, "key": ""}]%s})";
 
+/// kFile with further settings.
 inline std::string file_with(std::string_view more) {
   std::string text(kFile);
   return text.replace(text.find("%s"), 2, more);
 }
 
+/// The error message for a quic.json with this text; empty if it is valid.
 inline std::string refusal_of(const std::string& text) {
   config::Options options = config::flatten(text, "quic.json: ");
   try {
--- a/tests/quic/testbed.h
+++ b/tests/quic/testbed.h
@@ -1,4 +1,4 @@
-// Stand-in QUIC peers round the started program: workers, clients, a registry.
+// Stub QUIC workers and clients and a stub registry around the started program.
 #pragma once
 
 #include <fmt/format.h>
@@ -17,12 +17,13 @@
 
 using namespace quic;
 
-// ---- Stand-ins -------------------------------------------------------------------------------------
+// ---- Stub peers ------------------------------------------------------------------------------------
 
-struct Udp {
-  Udp() : fd(bound(SOCK_DGRAM | SOCK_NONBLOCK)) {}
-  Udp(const Udp&) = delete;
-  ~Udp() { ::close(fd); }
+/// A nonblocking UDP socket on a loopback port of its own.
+struct UdpSocket {
+  UdpSocket() : fd(bound(SOCK_DGRAM | SOCK_NONBLOCK)) {}
+  UdpSocket(const UdpSocket&) = delete;
+  ~UdpSocket() { ::close(fd); }
   void send(const std::string& bytes, const sockaddr_in& to) const {
     ::sendto(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
   }
@@ -40,27 +41,27 @@
 
 inline const std::vector<IdConfig> kIds = {{2, 4, 6, ""}};
 
-// A worker that answers Initials and, on short headers, each numbered request once, at its client's latest
-// address. LOCK is answered only after a while, as a lock takes a while to close.
-struct Worker {
-  explicit Worker(std::string n) : name(std::move(n)), server_id(default_server_id(name, 4)) {}
+/// A worker that accepts Initials and answers each request in a short-header packet once, at its client's
+/// latest address: LOCK after 80 ms, TOUCH never, others at once.
+struct StubWorker {
+  explicit StubWorker(std::string n) : name(std::move(n)), server_id(default_server_id(name, 4)) {}
 
-  void serve() {
+  void process() {
     sockaddr_in from{};
     while (auto bytes = udp.receive(&from)) {
       if (bytes->starts_with("\x04MARBLE1 ")) {
-        std::string words = bytes->substr(9);
-        if (words.starts_with("MOVE ")) {
-          moves.insert(words.substr(5));
-          udp.send("\x04MARBLE1 END " + words.substr(5), from);
+        std::string message = bytes->substr(9);
+        if (message.starts_with("MOVE ")) {
+          moves.insert(message.substr(5));
+          udp.send("\x04MARBLE1 END " + message.substr(5), from);
         }
         continue;
       }
       auto header = parse(*bytes);
       if (!header) continue;
       if (header->type == PacketType::initial) {
-        initials += 1;
-        if (mute) continue;
+        initial_count += 1;
+        if (silent) continue;
         std::string first(header->destination);
         if (busy) {
           udp.send("\x04MARBLE1 BUSY " + hex(first), from);
@@ -90,8 +91,8 @@
       it = locks.erase(it);
     }
   }
-  std::string make_id() { return IdCodec(kIds).encode(2, server_id, fmt::format("{:06}", ++made)); }
-  // Each answer carries a fresh id of the same worker, as NEW_CONNECTION_ID would.
+  std::string make_id() { return IdCodec(kIds).encode(2, server_id, fmt::format("{:06}", ++issued_ids)); }
+  // Each answer carries a new connection id of the same worker, as a NEW_CONNECTION_ID frame would.
   void answer(const std::string& id, const std::string& request) {
     std::string next = make_id();
     clients[next] = clients[id];
@@ -100,38 +101,41 @@
     udp.send("\x40" + client + next + request, to);
   }
 
+  /// A LOCK request and the time at which it is answered.
   struct Lock {
     std::int64_t at;
     std::string id, request;
   };
-  Udp udp;
+  UdpSocket udp;
   std::string name, server_id;
-  bool mute = false, busy = false;
-  int initials = 0, answers = 0, made = 0;
-  std::map<std::string, std::pair<std::string, sockaddr_in>> clients;  // by id: the client's own id, address
+  bool silent = false, busy = false;
+  int initial_count = 0, answers = 0, issued_ids = 0;
+  std::map<std::string, std::pair<std::string, sockaddr_in>>
+      clients;  // by connection id: the client's own id and address
   std::vector<Lock> locks;
   std::set<std::string> moves;
 };
 
-struct Client {
-  explicit Client(int number, int port) : router(loopback(port)) {
+/// A client that sends Initials and short-header requests and counts answers and closes on all its addresses.
+struct StubClient {
+  explicit StubClient(int number, int port) : balancer(loopback(port)) {
     source = fmt::format("c{:07}", number);
-    first = fmt::format("\xe0{:07}", number);  // 0xe0: the rotation that names no worker
+    first = fmt::format("\xe0{:07}", number);  // 0xe0: the rotation of unroutable ids
   }
   void open() {
     std::string frames = std::string("\x06\x00\x40\x05hello", 9) + std::string(1200, '\0');
-    udp->send(seal_initial(initial_keys(first, false), first, source, 0, frames), router);
+    udp->send(seal_initial(initial_keys(first, false), first, source, 0, frames), balancer);
   }
   void change_address() {
-    old.push_back(std::move(udp));  // kept: a late answer to it would be seen
-    udp = std::make_unique<Udp>();
+    previous_sockets.push_back(std::move(udp));  // still read, to detect answers to it
+    udp = std::make_unique<UdpSocket>();
   }
-  void request(const std::string& words) {
-    udp->send("\x40" + id + words, router);
-    asked += !words.starts_with("TOUCH");
+  void request(const std::string& message) {
+    udp->send("\x40" + id + message, balancer);
+    request_count += !message.starts_with("TOUCH");
   }
-  void serve() {
-    auto take = [this](const Udp& from) {
+  void process() {
+    auto process_socket = [this](const UdpSocket& from) {
       while (auto bytes = from.receive()) {
         auto header = parse(*bytes);
         if (!header) continue;
@@ -139,10 +143,10 @@
           auto frames = open_initial(initial_keys(first, true), *bytes);
           if (!frames) continue;
           if ((*frames)[0] == '\x1c') {
-            closes += 1;
+            close_count += 1;
             close_frames = *frames;
           } else {
-            ups += 1;
+            established_count += 1;
             id = header->source;
           }
         } else if (header->type == PacketType::short_header) {
@@ -151,24 +155,25 @@
         }
       }
     };
-    take(*udp);
-    for (auto& socket : old) take(*socket);
+    process_socket(*udp);
+    for (auto& socket : previous_sockets) process_socket(*socket);
   }
-  sockaddr_in router;
-  std::unique_ptr<Udp> udp = std::make_unique<Udp>();
-  std::vector<std::unique_ptr<Udp>> old;
+  sockaddr_in balancer;
+  std::unique_ptr<UdpSocket> udp = std::make_unique<UdpSocket>();
+  std::vector<std::unique_ptr<UdpSocket>> previous_sockets;
   std::string source, first, id, next_id, close_frames;
-  int ups = 0, closes = 0, asked = 0;
+  int established_count = 0, close_count = 0, request_count = 0;
   std::map<std::string, int> answers;
 };
 
-struct Scene {
-  explicit Scene(std::vector<std::string> names, int deadline_ms = 1500, rlim_t files = 1024) {
+/// The started program with its quic.json, stub workers and clients, and a registry that lists the workers.
+struct QuicTestbed {
+  explicit QuicTestbed(std::vector<std::string> names, int deadline_ms = 1500, rlim_t files = 1024) {
     registry = bound(SOCK_STREAM | SOCK_NONBLOCK);
     ::listen(registry, 8);
     json known = json::array();
     for (auto& name : names) {
-      workers.push_back(std::make_unique<Worker>(name));
+      workers.push_back(std::make_unique<StubWorker>(name));
       known.push_back(entry(*workers.back(), "ready"));
     }
     port = free_port(SOCK_DGRAM);
@@ -185,37 +190,37 @@
         {"paths", 400},
         {"ids", json::array({{{"rotation", 2}, {"server_id_length", 4}, {"nonce_length", 6}, {"key", ""}}})}};
     json s = settings();
-    s["limits"]["probes"] = false;  // these stand-ins speak QUIC only
+    s["limits"]["probes"] = false;  // the stub workers do not answer probes
     program = std::make_unique<Program>(known, s, port_of(registry), file, "/nonexistent", files);
   }
-  ~Scene() {
+  ~QuicTestbed() {
     ::close(registry);
-    if (call >= 0) ::close(call);
+    if (registry_connection >= 0) ::close(registry_connection);
     std::remove(file.c_str());
   }
-  static json entry(const Worker& w, const char* status) {
+  static json entry(const StubWorker& w, const char* status) {
     return {{"name", w.name}, {"address", text_of(port_of(w.udp.fd))},
             {"zone", "a"},    {"type", "m"},
             {"group", 0},     {"status", status},
             {"weight", 1.0},  {"since_ms", 0}};
   }
-  Client& client() {
-    clients.push_back(std::make_unique<Client>(static_cast<int>(clients.size()) + 1, port));
+  StubClient& client() {
+    clients.push_back(std::make_unique<StubClient>(static_cast<int>(clients.size()) + 1, port));
     return *clients.back();
   }
   void run(
       int ms, const std::function<bool()>& done = [] { return false; }) {
     for (std::int64_t end = now_ms() + ms; now_ms() < end && !done(); usleep(500)) {
-      for (auto& w : workers) w->serve();
-      for (auto& c : clients) c->serve();
+      for (auto& w : workers) w->process();
+      for (auto& c : clients) c->process();
       int fd = ::accept4(registry, nullptr, nullptr, SOCK_NONBLOCK);
-      if (fd >= 0) call = fd;
-      if (call >= 0 && !news.empty()) {
+      if (fd >= 0) registry_connection = fd;
+      if (registry_connection >= 0 && !registry_update.empty()) {
         std::string body =
-            json{{"index", 9}, {"snapshot", false}, {"endpoints", std::exchange(news, {})}}.dump();
+            json{{"index", 9}, {"snapshot", false}, {"endpoints", std::exchange(registry_update, {})}}.dump();
         std::string text =
             "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-        ::send(call, text.data(), text.size(), MSG_NOSIGNAL);
+        ::send(registry_connection, text.data(), text.size(), MSG_NOSIGNAL);
       }
     }
   }
@@ -225,11 +230,11 @@
     return program->counter(name);
   }
 
-  int registry, call = -1, port;
-  json news = json::array();
+  int registry, registry_connection = -1, port;
+  json registry_update = json::array();
   std::string file;
-  std::vector<std::unique_ptr<Worker>> workers;
-  std::vector<std::unique_ptr<Client>> clients;
+  std::vector<std::unique_ptr<StubWorker>> workers;
+  std::vector<std::unique_ptr<StubClient>> clients;
   std::unique_ptr<Program> program;
 };
 
