--- a/bench/quic_parts_bench.cpp
+++ b/bench/quic_parts_bench.cpp
@@ -52,8 +52,8 @@
 
 void proxy_header_written(benchmark::State& state) {
   std::array<char, kMaxProxyHeaderSize> out;
-  Endpoint client = *Endpoint::parse("127.0.0.1:4000"), router = *Endpoint::parse("127.0.0.1:7443");
-  for (auto _ : state) benchmark::DoNotOptimize(write_proxy_header(out, {false, client, router, {}, {}}));
+  Endpoint client = *Endpoint::parse("127.0.0.1:4000"), balancer = *Endpoint::parse("127.0.0.1:7443");
+  for (auto _ : state) benchmark::DoNotOptimize(write_proxy_header(out, {false, client, balancer, {}, {}}));
 }
 BENCHMARK(proxy_header_written);
 
--- a/tests/quic/parts.h
+++ b/tests/quic/parts.h
@@ -29,7 +29,7 @@
 inline constexpr std::int64_t kSecond = 1'000'000, kStart = 1'700'000'000 * kSecond;
 
 /// The bytes of a hexadecimal text.
-inline std::string bytes(std::string_view text) { return *unhex(text); }
+inline std::string from_hex(std::string_view text) { return *unhex(text); }
 
 inline Endpoint at(const char* text) { return *Endpoint::parse(text); }
 
@@ -46,8 +46,8 @@
 }
 
 /// A Retry packet and its source id and token, parsed as a client does.
-struct Retried {
-  Retried(AddressValidation& validation, const Header& initial, const Endpoint& from, std::int64_t now)
+struct ParsedRetry {
+  ParsedRetry(AddressValidation& validation, const Header& initial, const Endpoint& from, std::int64_t now)
       : packet(validation.make_retry(initial, from, now)) {
     auto header = parse(packet);
     REQUIRE(header.has_value());
@@ -60,7 +60,7 @@
 };
 
 /// Writes a temporary file with this mode and returns its path; the caller removes it.
-inline std::string temporary(const std::string& text, mode_t mode) {
+inline std::string temporary_file(const std::string& text, mode_t mode) {
   char path[] = "/tmp/marblehub-key-XXXXXX";
   ::close(mkstemp(path));
   std::ofstream(path) << text;
@@ -69,19 +69,19 @@
 }
 
 /// A valid quic.json; %s stands for further settings.
-inline constexpr std::string_view kFile =
+inline constexpr std::string_view kQuicJson =
     R"({"enabled": true, "listen": "127.0.0.1:7443", "class": "telemetry",
   "deadline_ms": 3000, "idle_ms": 30000, "calls": 512, "paths": 512,
   "ids": [{"rotation": 0, "server_id_length": 4, "nonce_length": 6, "key": ""}]%s})";
 
 /// kFile with further settings.
-inline std::string file_with(std::string_view more) {
-  std::string text(kFile);
+inline std::string quic_json_with(std::string_view more) {
+  std::string text(kQuicJson);
   return text.replace(text.find("%s"), 2, more);
 }
 
 /// The error message for a quic.json with this text; empty if it is valid.
-inline std::string refusal_of(const std::string& text) {
+inline std::string settings_error(const std::string& text) {
   config::Options options = config::flatten(text, "quic.json: ");
   try {
     quic_settings_from(options);
