--- a/src/core/call_gate.h
+++ b/src/core/call_gate.h
@@ -1,4 +1,4 @@
-/// What may stand before the policy: routes and wallets, which reject calls and bound the choice of workers.
+/// The interface of routes and wallets to the dispatcher: they reject calls and limit the choice of workers.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,32 @@
 
 struct Call;
 
-/// May reject a call before the policy sees it, and says among which workers the policy may choose. Notified
-/// of each call once: when it enters, and when it is over, by whatever way; call_established() between, where
-/// it comes to that.
+/// Decides on a call before the policy sees it: rejects it, or limits the workers that the policy may choose.
+/// For each call, admit() is called once, then call_established() if its connection is established, and
+/// call_ended() when the call is over for any reason.
 class CallGate {
  public:
+  /// The answer to admit().
   struct Decision {
     bool rejected = false;
-    Time retry_after = 0;  // told to the client that is rejected; 0: none
-    std::shared_ptr<const std::set<std::string>> allowed_workers;  // names of workers; none: any
+    Time retry_after = 0;  // microseconds, sent to the rejected client; 0: none
+    std::shared_ptr<const std::set<std::string>> allowed_workers;  // by name; null: all
   };
 
   virtual ~CallGate() = default;
   virtual Decision admit(std::uint64_t id, const Call& call) = 0;
   virtual void call_established(std::uint64_t id) = 0;
-  virtual void call_ended(std::uint64_t id) = 0;  // an id may be unknown
+  virtual void call_ended(std::uint64_t id) = 0;  // may be called with an unknown id
   virtual void worker_list_updated(const config::WorkerList& list) = 0;
 
-  /// By how many balancers the fleet's budgets are shared, asked five times a second; 0: as the settings say.
+  /// The number of balancers that share the fleet's budgets, polled five times a second; 0: use the settings.
   virtual int balancer_count() = 0;
 
-  /// The workers that the policy has marked down, as often.
+  /// Receives the workers that the policy has marked down, five times a second.
   virtual void set_down_workers(const std::vector<std::string>& workers) = 0;
 
-  /// Whether a connection that stands at this worker is where its call might be placed now. An answer may
-  /// change only when placement_version() has grown; as long as that is 0 it is always so.
+  /// Whether a new call like this one could be placed at the worker now. Answers change only when
+  /// placement_version() increases; while that is 0, the answer is always true.
   virtual bool placement_allowed(const Call& call, const std::string& worker) = 0;
   virtual std::uint64_t placement_version() = 0;
 };
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,5 +1,5 @@
-// What the core counts. Whoever reads the sums (src/metrics) hands them out by name; adding to one costs the
-// sum alone. Names follow the Prometheus conventions.
+/// The interface through which the core registers and updates its metrics; src/metrics implements it. Names
+/// follow the Prometheus conventions.
 #pragma once
 
 #include <string>
@@ -8,6 +8,7 @@
 
 namespace marblehub::core {
 
+/// The value of one metric. The caller keeps a reference, so that an update needs no look-up.
 struct Counter {
   double value = 0;
 
@@ -15,11 +16,12 @@
   void set(double to) { value = to; }
 };
 
+/// A registry of metrics.
 class Counters {
  public:
   using Labels = std::vector<std::pair<std::string, std::string>>;  // sorted by name
   virtual ~Counters() = default;
-  // Once each, at start; they stay where they are as long as this lives. A gauge goes up and down.
+  /// Each metric is registered once, at start. References are valid for the lifetime of the registry.
   virtual Counter& counter(std::string name, std::string help, Labels labels = {}) = 0;
   virtual Counter& gauge(std::string name, std::string help, Labels labels = {}) = 0;
 };
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -1,4 +1,4 @@
-// The life of a call.
+// Construction, and the states of a call from its acceptance to its end.
 #include "core/dispatcher.h"
 
 #include <utility>
@@ -11,12 +11,13 @@
 using namespace marblehub::policy;
 
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
-// A list is told when service discovery writes it, and is handled here a little later: of the time in which
-// sends to a leaving worker have to end so much is not used.
-constexpr Time kDrainReserve = 100 * kMillisecond;
-// A connection from before the start is offered to its worker again so often, so long after each failure.
+// Subtracted from the time within which sends to a leaving worker must stop: a list is handled some time
+// after service discovery wrote it.
+constexpr Time kDrainMargin = 100 * kMillisecond;
+// Hand-overs of connections from before the restart: attempts per connection, the delay after a failed one,
+// and its time-out.
 constexpr int kHandoverAttempts = 4;
-constexpr Time kHandoverPause = 300 * kMillisecond;
+constexpr Time kHandoverRetryDelay = 300 * kMillisecond;
 constexpr Time kHandoverTimeout = 10 * kSecond;
 
 }  // namespace
@@ -28,10 +29,10 @@
       prober_(prober),
       registry_(registry),
       balancer_(startup.settings, startup.seed, clock.now()),
-      workers_(startup.settings.stop_sending_within_us - kDrainReserve),
+      workers_(startup.settings.stop_sending_within_us - kDrainMargin),
       messages_(startup.settings, clock.now()),
       counters_(counters) {
-  timers_.push({now() + MessageMonitor::kLookInterval, TimerKind::monitor});
+  timers_.push({now() + MessageMonitor::kCheckInterval, TimerKind::monitor});
   update_list(EndpointListKind::cached, startup.known);
 }
 
@@ -43,27 +44,27 @@
   return -1;
 }
 
-// ---- The life of a call ------------------------------------------------------------------------------
+// ---- Calls -------------------------------------------------------------------------------------------
 
-Exchange& Dispatcher::enter(Call call, ClientSide& client, WorkerSide& workers) {
+Exchange& Dispatcher::register_call(Call call, ClientSide& client, WorkerSide& workers) {
   std::uint64_t id = next_id_++;
-  log::debug("call {} taken, group {:016x}", id, call.group);
-  auto made = std::make_unique<Exchange>(*this, id, std::move(call), client, workers, now());
-  return *calls_.emplace(id, std::move(made)).first->second;
+  log::debug("call {} accepted, group {:016x}", id, call.group);
+  auto exchange = std::make_unique<Exchange>(*this, id, std::move(call), client, workers, now());
+  return *calls_.emplace(id, std::move(exchange)).first->second;
 }
 
 Exchange& Dispatcher::accept_call(Call call, ClientSide& client, WorkerSide& workers) {
-  Exchange& exchange = enter(std::move(call), client, workers);
+  Exchange& exchange = register_call(std::move(call), client, workers);
   unanswered_ += 1;
   counters_.calls.add();
-  const std::string& owner = exchange.call().handover_worker;
-  if (!owner.empty() && !workers_.address_of(owner).empty()) {
+  const std::string& previous_worker = exchange.call().handover_worker;
+  if (!previous_worker.empty() && !workers_.address_of(previous_worker).empty()) {
     hand_over(exchange);
     return exchange;
   }
   if (gate_) {
     CallGate::Decision decision = gate_->admit(exchange.id_, exchange.call());
-    if (decision.rejected) {  // the policy never hears of it
+    if (decision.rejected) {  // the policy does not see it
       answer(exchange, Answer::overload, decision.retry_after, "");
       close(exchange);
       return exchange;
@@ -77,12 +78,12 @@
 
 Exchange& Dispatcher::adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
                             std::unique_ptr<Attempt> attempt, bool history_known) {
-  Exchange& exchange = enter(std::move(call), client, workers);
+  Exchange& exchange = register_call(std::move(call), client, workers);
   counters_.adopted.add();
   exchange.state_ = Exchange::State::established;
   exchange.worker_ = worker;
-  exchange.sent_at_ = now();
-  exchange.attempts_ = 1;  // to the policy it is the attempt that stood at the start
+  exchange.attempt_started_at_ = now();
+  exchange.attempts_ = 1;  // the policy counts the established connection as the first attempt
   exchange.attempt_ = std::move(attempt);
   if (connection_observer_)
     connection_observer_->connection_established(exchange.id_, worker, exchange.call(), !history_known);
@@ -90,13 +91,13 @@
   return exchange;
 }
 
-// A connection from before the start goes back to its own worker, whatever the policy would choose.
+// A connection from before the restart goes back to its worker, without a decision of the policy.
 void Dispatcher::hand_over(Exchange& exchange) {
   exchange.handover_attempts_ += 1;
   begin_attempt(exchange, exchange.call().handover_worker, kHandoverTimeout);
 }
 
-void Dispatcher::hand_over_again(Exchange& exchange) {
+void Dispatcher::retry_handover(Exchange& exchange) {
   if (exchange.attempt_) return;
   if (exchange.handover_attempts_ < kHandoverAttempts) return hand_over(exchange);
   answer(exchange, Answer::failed, 0, "");
@@ -105,11 +106,11 @@
 
 void Dispatcher::begin_attempt(Exchange& exchange, const std::string& worker, Time wait) {
   exchange.worker_ = worker;
-  exchange.sent_at_ = now();
+  exchange.attempt_started_at_ = now();
   int attempt = exchange.attempts_++;
-  // The policy chooses before the sockets are read: the end of a client that has left may still lie in one.
+  // The policy decides before all sockets are read, so the client may have left unnoticed.
   exchange.withheld_ = !exchange.client_waiting();
-  if (exchange.withheld_) return;  // its end is read in this turn, and ends the call
+  if (exchange.withheld_) return;  // the client's end is read in this iteration and ends the call
   log::debug("call {} sent to {}", exchange.id_, worker);
   counters_.attempts.add();
   timers_.push({now() + wait, TimerKind::attempt, exchange.id_, attempt});
@@ -117,17 +118,17 @@
   exchange.attempt_ = exchange.workers_.begin_attempt(exchange, worker, exchange.address_, wait);
 }
 
-// A connect may take a while: by then the worker may have been told to drain. Nothing new is sent to it.
+// The worker may have begun to drain while the connection to it was being set up.
 bool Dispatcher::may_begin(const std::string& worker, const std::string& address) const {
-  bool may = workers_.may_begin(worker, address, now());
-  if (!may) counters_.drain_stops.add();
-  return may;
+  bool allowed = workers_.may_begin(worker, address, now());
+  if (!allowed) counters_.drain_stops.add();
+  return allowed;
 }
 
 void Dispatcher::established(Exchange& exchange) {
   counters_.served.add();
   log::debug("call {} up at {} after {} ms", exchange.id_, exchange.worker_,
-             (now() - exchange.sent_at_) / kMillisecond);
+             (now() - exchange.attempt_started_at_) / kMillisecond);
   unanswered_ -= 1;
   const bool handed_over = exchange.handover_attempts_ > 0;
   if (connection_observer_) {
@@ -138,11 +139,11 @@
   if (gate_) gate_->call_established(exchange.id_);
   int attempt = exchange.attempts_ - 1;
   if (handed_over) {
-    exchange.attempts_ = 1;  // to the policy it is the attempt that stood at the start
+    exchange.attempts_ = 1;  // the policy counts the established connection as the first attempt
     notify(HandoverEvent{request_of(exchange), exchange.worker_});
     return;
   }
-  notify(EstablishedEvent{exchange.id_, attempt, now() - exchange.sent_at_});
+  notify(EstablishedEvent{exchange.id_, attempt, now() - exchange.attempt_started_at_});
 }
 
 void Dispatcher::attempt_over(Exchange& exchange, Outcome outcome, const LoadReport& report, bool terminal) {
@@ -150,9 +151,9 @@
     connection_observer_->worker_load_reported(exchange.worker_, report.load);
   counters_.attempt_result(outcome).add();
   log::debug("call {} at {}: {} after {} ms", exchange.id_, exchange.worker_, name_of(outcome),
-             (now() - exchange.sent_at_) / kMillisecond);
+             (now() - exchange.attempt_started_at_) / kMillisecond);
   if (exchange.handover_attempts_ > 0 && exchange.state_ == Exchange::State::waiting) {
-    timers_.push({now() + kHandoverPause, TimerKind::handover, exchange.id_});
+    timers_.push({now() + kHandoverRetryDelay, TimerKind::handover, exchange.id_});
     return;
   }
   ResultEvent event = result_of(exchange, outcome, report, terminal);
@@ -160,16 +161,16 @@
   notify(std::move(event));
 }
 
-void Dispatcher::client_left(Exchange& exchange, bool stood) {
-  if (!stood) {
+void Dispatcher::client_left(Exchange& exchange, bool was_established) {
+  if (!was_established) {
     counters_.clients_left.add();
     unanswered_ -= 1;
   }
-  const bool policy_knows = stood || exchange.handover_attempts_ == 0;
+  const bool policy_knows = was_established || exchange.handover_attempts_ == 0;
   ResultEvent event = result_of(exchange, Outcome::cancelled, {}, true);
   close(exchange);
   if (!policy_knows) return;
-  if (!stood) notify(ClientGoneEvent{event.id});
+  if (!was_established) notify(ClientGoneEvent{event.id});
   if (event.attempt >= 0) notify(std::move(event));
 }
 
@@ -183,8 +184,8 @@
   notify(std::move(event));
 }
 
-// The one place where a call that has not been established gets its final answer.
-void Dispatcher::answer(Exchange& exchange, Answer answer, Time pause, std::string_view words) {
+// All final answers to calls that were not established are sent here.
+void Dispatcher::answer(Exchange& exchange, Answer answer, Time pause, std::string_view error_text) {
   if (exchange.state_ != Exchange::State::waiting) return;
   unanswered_ -= 1;
   if (connection_observer_) connection_observer_->call_answered(true);
@@ -194,7 +195,7 @@
     exchange.answer_overload(pause);
   } else {
     counters_.failed.add();
-    exchange.answer_failed(words);
+    exchange.answer_failed(error_text);
   }
 }
 
@@ -203,7 +204,7 @@
   ResultEvent event = result_of(exchange, Outcome::cancelled, {}, true);
   answer(exchange, kind, pause, "");
   close(exchange);
-  if (in_flight) notify(std::move(event));  // the policy still waits for the result of that attempt
+  if (in_flight) notify(std::move(event));  // the policy expects a result for that attempt
 }
 
 void Dispatcher::close(Exchange& exchange) {
@@ -225,7 +226,7 @@
   return exchange && exchange->state_ == Exchange::State::waiting ? exchange : nullptr;
 }
 
-// ---- A planner's part --------------------------------------------------------------------------------
+// ---- Rebalancing -------------------------------------------------------------------------------------
 
 bool Dispatcher::move(std::uint64_t id) {
   Exchange* exchange = find(id);
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -1,5 +1,5 @@
-/// Drives the policy: turns what the fronts see into its events, carries out its actions, and keeps every
-/// deadline. It owns the policy, the calls and the timers.
+/// Drives the policy: converts input from the fronts into its events, executes its actions, and enforces
+/// deadlines.
 #pragma once
 
 #include <cstdint>
@@ -20,25 +20,26 @@
 
 namespace marblehub::core {
 
+/// Owns the policy, the calls and the timers. Single-threaded: every function is called on the event loop.
 class Dispatcher {
  public:
-  /// All that it refers to outlives it.
+  /// All arguments taken by reference, other than `startup`, must outlive the dispatcher.
   Dispatcher(const config::Startup& startup, const Clock& clock, Prober& prober, Registry& registry,
              Counters& counters);
   ~Dispatcher();
 
   Time now() const { return clock_.now(); }
-  /// Index of the settings' request class of that name; -1: none.
+  /// The index of a request class in the settings; -1 if there is none of that name.
   int class_index(std::string_view name) const;
   const policy::Settings& settings() const { return settings_; }
 
-  // ---- From the fronts.
+  // ---- Called by the fronts.
 
-  /// A client's call. The exchange lives until it is over and free_ended() has been called.
+  /// Accepts a client's call. The exchange is valid until it is over and free_ended() has been called.
   Exchange& accept_call(Call call, ClientSide& client, WorkerSide& workers);
 
-  /// A connection that stands already, at this worker: another balancer set it up, and it has come here. Its
-  /// past, how long it has stood and whether its client was moved, is known only where the call says it all.
+  /// Adds a connection to this worker that another balancer established. Without `history_known`, it
+  /// counts as pre-existing: its age, and whether its client was moved before, are unknown.
   Exchange& adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
                   std::unique_ptr<Attempt> attempt, bool history_known = false);
 
@@ -46,87 +47,90 @@
   void list_received(const config::WorkerList& list);
   void list_failed();
 
-  // ---- For a planner of moves.
+  // ---- Used by the rebalancing planner.
 
   void set_connection_observer(ConnectionObserver& observer) { connection_observer_ = &observer; }
 
-  /// Tells a standing connection's client to move. False where there is none by that number, or it is moving
-  /// already.
+  /// Requests the client of an established connection to move. Returns false if there is no such connection
+  /// or its move is already pending.
   bool move(std::uint64_t id);
 
-  /// Standing connections that the gate would not place where they stand, by its rules of now. O(standing)
+  /// Established connections that the gate would no longer place at their worker. Linear in their number.
   std::vector<std::uint64_t> out_of_pool() const;
+  /// See CallGate::placement_version(); 0 without a gate.
   std::uint64_t placement_version() const { return gate_ ? gate_->placement_version() : 0; }
 
-  // ---- For routes and wallets.
+  // ---- Used by routes and wallets.
 
-  /// Before the first call; it outlives the dispatcher's last step, and has the list of the start from
-  /// elsewhere.
+  /// To be called before the first call is accepted. The gate must outlive the dispatcher's use of it; it is
+  /// not sent the worker list that the dispatcher started with.
   void set_gate(CallGate& gate) { gate_ = &gate; }
 
   // ---- Time.
 
-  /// The earliest moment at which advance() has something to do.
+  /// When the next timer is due.
   Time next_due() const;
+  /// Handles all timers that are due.
   void advance();
-  /// To be called before each wait for the fronts' sockets, when all that was found by the last one has been
+  /// To be called before each poll of the fronts' sockets, after the events of the previous poll have been
   /// handled.
-  void before_wait() { waiting_since_ = now(); }
-  /// Frees what is over. Only when no front is inside a call of it.
+  void before_wait() { poll_started_at_ = now(); }
+  /// Frees exchanges that are over. Must not be called from within a call to the dispatcher.
   void free_ended() { ended_.clear(); }
 
   // ---- A planned restart.
 
-  /// Tells every standing connection to move, spread over `span`.
+  /// Requests the client of every established connection to move, spread evenly over `span`.
   void retire(Time span);
-  /// The last moment: no call taken goes without its answer, and no client that stands without being told to
-  /// move.
+  /// Ends everything before the program exits: answers every waiting call and requests the client of every
+  /// established connection to move.
   void end_all();
+  /// The number of calls waiting for their answer.
   std::size_t unanswered() const { return unanswered_; }
   std::size_t established_count() const { return calls_.size() - unanswered_; }
 
-  /// The workers that service discovery has named, those that drain or are gone included.
+  /// All workers that service discovery has listed, including draining and deleted ones.
   using Worker = WorkerDirectory::Worker;
   const WorkerDirectory::Workers& workers() const { return workers_.workers(); }
-  /// Grows with every list or change.
+  /// Incremented by every list and every change of one.
   std::uint64_t list_version() const { return workers_.version(); }
 
  private:
   friend class Exchange;
-  enum class Answer { overload, failed };
+  enum class Answer { overload, failed };  // final answers other than success
 
-  // ---- From exchanges.
+  // ---- Called by exchanges.
   bool may_begin(const std::string& worker, const std::string& address) const;
   void established(Exchange& exchange);
   void message_answered(Exchange& exchange, Time delay);
   void load_changed(Exchange& exchange, double load);
   void attempt_over(Exchange& exchange, Outcome outcome, const LoadReport& report, bool terminal);
-  void client_left(Exchange& exchange, bool stood);
+  void client_left(Exchange& exchange, bool was_established);
   void redirected(Exchange& exchange, MoveReason reason);
   void watch_messages(Exchange& exchange) { messages_.watch(exchange.id_); }
 
-  // ---- The life of a call.
-  Exchange& enter(Call call, ClientSide& client, WorkerSide& workers);
+  // ---- Calls.
+  Exchange& register_call(Call call, ClientSide& client, WorkerSide& workers);
   void begin_attempt(Exchange& exchange, const std::string& worker, Time wait);
   void hand_over(Exchange& exchange);
-  void hand_over_again(Exchange& exchange);
-  void answer(Exchange& exchange, Answer answer, Time pause, std::string_view words);
+  void retry_handover(Exchange& exchange);
+  void answer(Exchange& exchange, Answer answer, Time pause, std::string_view error_text);
   void answer_and_close(Exchange& exchange, Answer answer, Time pause);
   void close(Exchange& exchange);
   Exchange* find(std::uint64_t id);
   Exchange* find_waiting(std::uint64_t id);
 
   // ---- The policy.
-  void update_list(policy::EndpointListKind form, const config::WorkerList& list);
+  void update_list(policy::EndpointListKind kind, const config::WorkerList& list);
   void notify(policy::Event event);
   void handle_events();
-  void carry_out(const policy::Submit& action);
-  void carry_out(const policy::Reject& action);
-  void carry_out(const policy::Fail& action);
-  void carry_out(const policy::Redirect& action);
-  void carry_out(const policy::Probe& action);
-  void carry_out(const policy::WatchEndpoints& action);
-  void carry_out(const policy::SetTimer& action);
+  void execute(const policy::Submit& action);
+  void execute(const policy::Reject& action);
+  void execute(const policy::Fail& action);
+  void execute(const policy::Redirect& action);
+  void execute(const policy::Probe& action);
+  void execute(const policy::WatchEndpoints& action);
+  void execute(const policy::SetTimer& action);
   policy::RequestEvent request_of(const Exchange& exchange) const;
   policy::ResultEvent result_of(const Exchange& exchange, Outcome outcome, const LoadReport& report,
                                 bool terminal) const;
@@ -136,8 +140,8 @@
   void attempt_timed_out(Exchange& exchange, int attempt);
   void deadline_passed(Exchange& exchange);
   void monitor();
-  void look_at_messages();
-  void follow_gate();
+  void check_messages();
+  void sync_with_gate();
 
   const policy::Settings settings_;
   const Clock& clock_;
@@ -147,9 +151,9 @@
   CallGate* gate_ = nullptr;
 
   policy::Balancer balancer_;
-  std::deque<policy::Event> events_;  // that the policy has not seen yet
+  std::deque<policy::Event> events_;  // not yet passed to the policy
   bool handling_events_ = false;
-  int balancer_count_ = 0;  // balancers, as the policy was last told; 0: as the settings say
+  int balancer_count_ = 0;  // last passed to the policy; 0: the settings apply
 
   Exchanges calls_;
   std::vector<std::unique_ptr<Exchange>> ended_;
@@ -159,7 +163,7 @@
   WorkerDirectory workers_;
   MessageMonitor messages_;
   TimerQueue timers_;
-  Time waiting_since_ = 0;  // what is read now may have come at any time since; 0: not known
+  Time poll_started_at_ = 0;  // input read now may have arrived since; 0: unknown
   DispatcherCounters counters_;
 };
 
--- a/src/core/dispatcher_counters.cpp
+++ b/src/core/dispatcher_counters.cpp
@@ -38,8 +38,8 @@
       moves(counters.counter("marblehub_moves_total", "Clients told to move")),
       silent_moves(
           counters.counter("marblehub_silent_moves_total", "Clients moved because their worker fell silent")),
-      slow_notes(counters.counter("marblehub_slow_message_notes_total",
-                                  "Notes that messages at a worker take long, or no longer do")),
+      slow_updates(counters.counter("marblehub_slow_message_notes_total",
+                                    "Notes that messages at a worker take long, or no longer do")),
       probes(counters.counter("marblehub_probes_total", "Probes sent")),
       lists(counters.counter("marblehub_registry_answers_total", "Lists and changes told by the registry")),
       list_failures(counters.counter("marblehub_registry_failures_total", "Registry calls that failed")),
@@ -55,7 +55,7 @@
   for (const char* name : kOutcomeNames)
     probe_results_.push_back(
         &counters.counter("marblehub_probe_results_total", "How probes ended", {{"outcome", name}}));
-  // Beside marblehub_moves_total and marblehub_answers_total, whose names and sums stay.
+  // These break down marblehub_moves_total and marblehub_answers_total.
   for (const char* name : kMoveReasonNames)
     move_reasons_.push_back(&counters.counter("marblehub_move_reasons_total", "Clients told to move, by why",
                                               {{"reason", name}}));
--- a/src/core/dispatcher_counters.h
+++ b/src/core/dispatcher_counters.h
@@ -1,4 +1,4 @@
-/// What the dispatcher counts.
+/// The dispatcher's metrics.
 #pragma once
 
 #include <vector>
@@ -8,10 +8,11 @@
 
 namespace marblehub::core {
 
-/// As metrics and log lines say it.
+/// Names used in metrics and log lines.
 const char* name_of(Outcome outcome);
 const char* name_of(MoveReason reason);
 
+/// References to the metrics, which are registered at construction and owned by `counters`.
 struct DispatcherCounters {
   explicit DispatcherCounters(Counters& counters);
 
@@ -22,7 +23,7 @@
   Counter& rejection(policy::RejectReason reason) { return *rejections_[static_cast<std::size_t>(reason)]; }
 
   Counter &calls, &adopted, &served, &rejected, &failed, &clients_left, &deadline_answers, &attempts, &moves,
-      &silent_moves, &slow_notes, &probes, &lists, &list_failures, &drain_stops;
+      &silent_moves, &slow_updates, &probes, &lists, &list_failures, &drain_stops;
   Counter &established, &waiting, &workers_down;  // gauges
 
  private:
--- a/src/core/dispatcher_policy.cpp
+++ b/src/core/dispatcher_policy.cpp
@@ -1,4 +1,4 @@
-// What the dispatcher tells the policy, and how it carries out what the policy decides.
+// Events passed to the policy, and execution of its actions.
 #include <algorithm>
 #include <memory>
 #include <utility>
@@ -53,15 +53,15 @@
   notify(EndpointListEvent{EndpointListKind::failed, nullptr});
 }
 
-void Dispatcher::update_list(EndpointListKind form, const config::WorkerList& list) {
+void Dispatcher::update_list(EndpointListKind kind, const config::WorkerList& list) {
   if (connection_observer_) connection_observer_->worker_list_updated(list);
   if (gate_) gate_->worker_list_updated(list);
-  // It counts as told once it has been written, which a process that was held up finds out late.
-  Time written_at = waiting_since_ > 0 ? waiting_since_ : now();
+  // The list may have arrived at any time since the last poll began; the earliest time is assumed.
+  Time written_at = poll_started_at_ > 0 ? poll_started_at_ : now();
   workers_.update(list, written_at, now());
   auto entries = std::make_shared<std::vector<BackendEntry>>();
   for (const config::WorkerEntry& worker : list.workers) entries->push_back(worker.backend);
-  notify(EndpointListEvent{form, std::move(entries)});
+  notify(EndpointListEvent{kind, std::move(entries)});
 }
 
 // ---- The policy --------------------------------------------------------------------------------------
@@ -74,9 +74,13 @@
 
 ResultEvent Dispatcher::result_of(const Exchange& exchange, Outcome outcome, const LoadReport& report,
                                   bool terminal) const {
-  return {
-      exchange.id_, exchange.attempts_ - 1, terminal, exchange.worker_, now() - exchange.sent_at_, outcome,
-      report};
+  return {exchange.id_,
+          exchange.attempts_ - 1,
+          terminal,
+          exchange.worker_,
+          now() - exchange.attempt_started_at_,
+          outcome,
+          report};
 }
 
 void Dispatcher::notify(Event event) {
@@ -84,7 +88,7 @@
   handle_events();
 }
 
-// An action may at once lead to further events; they wait their turn here instead of nesting.
+// Executing an action may add events, which are queued rather than handled recursively.
 void Dispatcher::handle_events() {
   if (handling_events_) return;
   handling_events_ = true;
@@ -94,46 +98,46 @@
     events_.pop_front();
     actions.clear();
     balancer_.handle(now(), event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& kind) { carry_out(kind); }, action);
+    for (const Action& action : actions) std::visit([this](const auto& kind) { execute(kind); }, action);
   }
   handling_events_ = false;
 }
 
-void Dispatcher::carry_out(const Submit& action) {
+void Dispatcher::execute(const Submit& action) {
   Exchange* exchange = find_waiting(action.id);
   if (!exchange || exchange->attempt_) return;
   begin_attempt(*exchange, action.backend, std::max<Time>(kMillisecond, action.deadline - now()));
 }
 
-void Dispatcher::carry_out(const Reject& action) {
+void Dispatcher::execute(const Reject& action) {
   Exchange* exchange = find_waiting(action.id);
   if (!exchange) return;
   counters_.rejection(action.reason).add();
   answer_and_close(*exchange, Answer::overload, action.retry_after);
 }
 
-void Dispatcher::carry_out(const Fail& action) {
+void Dispatcher::execute(const Fail& action) {
   if (Exchange* exchange = find_waiting(action.id)) answer_and_close(*exchange, Answer::failed, 0);
 }
 
-void Dispatcher::carry_out(const Redirect& action) {
+void Dispatcher::execute(const Redirect& action) {
   Exchange* exchange = find(action.id);
   if (!exchange) return;
   MoveReason reason = reason_of(action.reason);
-  log::debug("call {} is to leave {}: {}, messages take {:.0f} ms, load {:.2f}", action.id, exchange->worker_,
-             name_of(reason), action.delay_ms, action.load);
+  log::debug("call {} requested to move from {}: {}, message delay {:.0f} ms, load {:.2f}", action.id,
+             exchange->worker_, name_of(reason), action.delay_ms, action.load);
   exchange->redirect(reason);
 }
 
-void Dispatcher::carry_out(const Probe& action) {
+void Dispatcher::execute(const Probe& action) {
   counters_.probes.add();
   log::debug("probe to {}", action.backend);
   prober_.probe(action.backend, workers_.address_of(action.backend));
 }
 
-void Dispatcher::carry_out(const WatchEndpoints&) { registry_.watch_endpoints(); }
+void Dispatcher::execute(const WatchEndpoints&) { registry_.watch_endpoints(); }
 
-void Dispatcher::carry_out(const SetTimer& action) {
+void Dispatcher::execute(const SetTimer& action) {
   timers_.push({now() + action.after, TimerKind::policy, action.cookie});
 }
 
--- a/src/core/dispatcher_timers.cpp
+++ b/src/core/dispatcher_timers.cpp
@@ -1,4 +1,4 @@
-// What the dispatcher does when a timer is due, and when the program restarts.
+// Timers, periodic checks and planned restarts.
 #include <cstdint>
 #include <optional>
 #include <vector>
@@ -33,7 +33,7 @@
   }
   Exchange* exchange = find_waiting(timer.id);
   if (!exchange) return;
-  if (timer.kind == TimerKind::handover) return hand_over_again(*exchange);
+  if (timer.kind == TimerKind::handover) return retry_handover(*exchange);
   if (timer.kind == TimerKind::attempt) return attempt_timed_out(*exchange, timer.attempt);
   deadline_passed(*exchange);
 }
@@ -41,11 +41,11 @@
 void Dispatcher::attempt_timed_out(Exchange& exchange, int attempt) {
   if (!exchange.attempt_ || exchange.attempts_ - 1 != attempt) return;
   bool worker_to_blame = exchange.attempt_->timeout_blames_worker();
-  exchange.drop_attempt();  // first: no two attempts may be in flight at once
+  exchange.drop_attempt();  // before attempt_over, which may begin the next attempt
   attempt_over(exchange, worker_to_blame ? Outcome::timeout : Outcome::not_sent, {}, false);
 }
 
-// The policy answers well before the deadline; should it ever not, the client is owed its answer still.
+// Fallback: the policy normally answers well before the deadline.
 void Dispatcher::deadline_passed(Exchange& exchange) {
   counters_.deadline_answers.add();
   std::uint64_t id = exchange.id_;
@@ -55,35 +55,35 @@
 
 void Dispatcher::monitor() {
   MessageMonitor::Schedule schedule = messages_.schedule(now());
-  if (schedule.look) look_at_messages();
-  if (gate_) follow_gate();
+  if (schedule.check) check_messages();
+  if (gate_) sync_with_gate();
   timers_.push({now() + schedule.next_in, TimerKind::monitor});
 }
 
-void Dispatcher::look_at_messages() {
-  // What the policy does on hearing of one may end others: no walk over the calls meanwhile.
-  MessageMonitor::Findings findings = messages_.look(calls_, now());
-  counters_.silent_moves.add(static_cast<double>(findings.newly_silent));
+void Dispatcher::check_messages() {
+  // Collected first, since the policy's reaction to one message may end other calls.
+  MessageMonitor::Findings findings = messages_.check(calls_, now());
+  counters_.silent_moves.add(static_cast<double>(findings.newly_moved));
   for (const auto& [id, waited] : findings.late)
     if (Exchange* exchange = find(id)) message_answered(*exchange, waited);
   for (std::uint64_t id : findings.silent)
     if (Exchange* exchange = find(id)) exchange->redirect(MoveReason::silent);
-  for (std::uint64_t id : findings.stopped)
+  for (std::uint64_t id : findings.stalled)
     if (Exchange* exchange = find(id)) exchange->redirect_now(exchange->move_reason());
   counters_.established.set(static_cast<double>(established_count()));
   counters_.waiting.set(static_cast<double>(unanswered_));
   counters_.workers_down.set(static_cast<double>(balancer_.down_backends().size()));
 }
 
-// A message of this call has been answered after so long, or waits for its answer since.
+// A message of this call was answered after `delay`, or is unanswered since then.
 void Dispatcher::message_answered(Exchange& exchange, Time delay) {
-  std::optional<Time> news = messages_.news(exchange.worker_, delay, now());
-  if (!news) return;
-  log::debug("messages at {} take {} ms, told as {} ms", exchange.worker_, delay / kMillisecond,
-             *news / kMillisecond);
-  counters_.slow_notes.add();
+  std::optional<Time> latency_update = messages_.latency_update(exchange.worker_, delay, now());
+  if (!latency_update) return;
+  log::debug("messages at {} take {} ms, reported as {} ms", exchange.worker_, delay / kMillisecond,
+             *latency_update / kMillisecond);
+  counters_.slow_updates.add();
   notify(ConnectionUpdateEvent{exchange.id_, exchange.attempts_ - 1, ConnectionUpdateKind::messages_slow,
-                               static_cast<double>(*news) / kMillisecond});
+                               static_cast<double>(*latency_update) / kMillisecond});
 }
 
 void Dispatcher::load_changed(Exchange& exchange, double load) {
@@ -92,8 +92,8 @@
       ConnectionUpdateEvent{exchange.id_, exchange.attempts_ - 1, ConnectionUpdateKind::load_changed, load});
 }
 
-// What the policy hears of the fleet beside its list, and the gate of the workers.
-void Dispatcher::follow_gate() {
+// Passes the number of balancers to the policy, and the workers that are down to the gate.
+void Dispatcher::sync_with_gate() {
   int balancers = gate_->balancer_count();
   if (balancers > 0 && balancers != balancer_count_) {
     balancer_count_ = balancers;
@@ -113,8 +113,7 @@
     if (exchange->state_ == Exchange::State::waiting) {
       answer_and_close(*exchange, Answer::overload, 0);
     } else {
-      exchange->redirect_now(
-          MoveReason::restart);  // inside a message too: what is held at the exit is cut off with no word
+      exchange->redirect_now(MoveReason::restart);  // even inside a message, since the program exits now
     }
   }
 }
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -5,8 +5,8 @@
 namespace marblehub::core {
 namespace {
 
-constexpr std::size_t kMessagesTimed = 256;  // a client that floods is timed no further: the queue is bounded
-constexpr Time kMidLineBound = 700'000;      // a worker that stops inside a line holds no move up
+constexpr std::size_t kMaxTimedMessages = 256;  // bounds the memory for a client that floods messages
+constexpr Time kMaxMidMessagePause = 700'000;   // microseconds that an incomplete message may delay a move
 
 }  // namespace
 
@@ -22,21 +22,21 @@
 void Exchange::client_sent(const StreamChunk& chunk) {
   if (state_ != State::established || !attempt_) return;
   if (unanswered_.empty() && chunk.messages > 0) dispatcher_.watch_messages(*this);
-  for (int i = 0; i < chunk.messages && unanswered_.size() < kMessagesTimed; ++i)
+  for (int i = 0; i < chunk.messages && unanswered_.size() < kMaxTimedMessages; ++i)
     unanswered_.push_back(dispatcher_.now());
   attempt_->deliver(chunk.bytes);
 }
 
-void Exchange::client_left(CloseKind ending) {
+void Exchange::client_left(CloseKind close_kind) {
   client_ = nullptr;
   if (state_ == State::over) return;
-  bool stood = state_ == State::established;
+  bool was_established = state_ == State::established;
   state_ = State::over;
   if (attempt_) {
-    attempt_->finish(ending);
+    attempt_->finish(close_kind);
     drop_attempt();
   }
-  dispatcher_.client_left(*this, stood);
+  dispatcher_.client_left(*this, was_established);
 }
 
 void Exchange::client_blocked(bool on) {
@@ -61,7 +61,7 @@
     Time delay = dispatcher_.now() - unanswered_.front();
     unanswered_.erase(unanswered_.begin());
     dispatcher_.message_answered(*this, delay);
-    if (state_ != State::established) return;  // the module has moved this client on hearing it
+    if (state_ != State::established) return;  // the policy has moved this client in response
   }
   if (move_pending_ && client_at_boundary_) redirect_now(move_reason_);
 }
@@ -74,56 +74,56 @@
   if (client_ && state_ == State::established) client_->hold(on);
 }
 
-void Exchange::worker_ended(Outcome outcome, CloseKind ending, const LoadReport& report,
-                            std::string_view words) {
+void Exchange::worker_ended(Outcome outcome, CloseKind close_kind, const LoadReport& report,
+                            std::string_view error_text) {
   drop_attempt();
   if (state_ == State::over) return;
   if (state_ == State::established) {
     state_ = State::over;
-    if (client_) client_->ended(ending);
+    if (client_) client_->ended(close_kind);
     client_ = nullptr;
     dispatcher_.attempt_over(*this, outcome, report, true);
     return;
   }
-  // A call that its worker has served to the end at once needs no second attempt.
+  // A call that the worker served without a connection needs no second attempt.
   bool terminal = outcome == Outcome::served;
-  if (terminal) dispatcher_.answer(*this, Dispatcher::Answer::failed, 0, words);
+  if (terminal) dispatcher_.answer(*this, Dispatcher::Answer::failed, 0, error_text);
   dispatcher_.attempt_over(*this, outcome, report, terminal);
 }
 
 void Exchange::answer_overload(Time pause) {
-  if (state_ != State::waiting) return;  // guards against a second answer
+  if (state_ != State::waiting) return;
   state_ = State::over;
   drop_attempt();
   if (client_) client_->overload_reply(pause);
   client_ = nullptr;
 }
 
-void Exchange::answer_failed(std::string_view words) {
+void Exchange::answer_failed(std::string_view error_text) {
   if (state_ != State::waiting) return;
   state_ = State::over;
   drop_attempt();
-  if (client_) client_->failed(words);
+  if (client_) client_->failed(error_text);
   client_ = nullptr;
 }
 
 bool Exchange::move_overdue() const {
-  return move_pending_ && dispatcher_.now() - moving_since_ > kMidLineBound;
+  return move_pending_ && dispatcher_.now() - move_requested_at_ > kMaxMidMessagePause;
 }
 
-// By what has been read: after a stall of the process the rest may lie in the socket.
+// Considers only what has been read: after a stall of the process, more may be unread in the socket.
 bool Exchange::stalled_inside_message() const {
-  return !client_at_boundary_ && dispatcher_.now() - last_received_at_ > kMidLineBound;
+  return !client_at_boundary_ && dispatcher_.now() - last_received_at_ > kMaxMidMessagePause;
 }
 
-// A client is told to move between two messages only: a MOVE inside a line would be part of that line.
+// MOVE is sent only at a message boundary, as inside a line it would become part of that line.
 void Exchange::redirect(MoveReason reason) {
   if (state_ != State::established || move_pending_) return;
   if (client_at_boundary_) return redirect_now(reason);
   move_pending_ = true;
   move_reason_ = reason;
   dispatcher_.watch_messages(*this);
-  moving_since_ = dispatcher_.now();
+  move_requested_at_ = dispatcher_.now();
 }
 
 void Exchange::redirect_now(MoveReason reason) {
--- a/src/core/exchange.h
+++ b/src/core/exchange.h
@@ -1,5 +1,5 @@
-/// The one object where the client's side and the worker's side of a call meet. It sees to it that the client
-/// gets exactly one answer and that no two attempts are in flight at once.
+/// Connects the client's side and the worker's side of a call. Ensures that the client gets exactly one
+/// answer and that at most one attempt is in flight.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,20 @@
 
 class Dispatcher;
 
-/// What a client asks for, as its front has read it.
+/// A client's request, as decoded by its front.
 struct Call {
   int request_class = 0;
-  Time expires_in = 0;
-  double load_hint = 0;
-  bool returned = false;
-  std::uint64_t group = 0;      // of calls that share work on a worker; 0: none
-  std::string tenant, area;     // as the client named them; the area names the group
-  std::string front_data;       // what the client began with; the front's own
-  std::string handover_worker;  // the worker that holds it since before the start; else empty
+  Time expires_in = 0;          // until the client's deadline
+  double load_hint = 0;         // expected work per second, in microseconds; 0: unknown
+  bool returned = false;        // the client reconnects after a failure or a move
+  std::uint64_t group = 0;      // calls of one group are cheaper at the same worker; 0: none
+  std::string tenant, area;     // as sent by the client; the area is the group's name
+  std::string front_data;       // opaque to the core: what the front needs to forward the call
+  std::string handover_worker;  // where it was established before a restart; else empty
 };
 
-/// Owned by the dispatcher; refers to the front's two sides, and owns the attempt in flight.
+/// A call and, once established, its connection. Owned by the dispatcher; owns the attempt in flight and
+/// refers to the front's two sides.
 class Exchange {
  public:
   Exchange(Dispatcher& dispatcher, std::uint64_t id, Call call, ClientSide& client, WorkerSide& workers,
@@ -36,41 +37,46 @@
   std::uint64_t id() const { return id_; }
   const Call& call() const { return call_; }
 
-  // ---- How it stands.
+  // ---- State.
   bool is_established() const { return state_ == State::established; }
-  bool move_pending() const {
-    return move_pending_;
-  }  // to be told to move once the stream is between two messages
-  /// Why it is to move; that its worker is silent where nothing else has asked for it.
+  /// The client will be requested to move at the next message boundary.
+  bool move_pending() const { return move_pending_; }
+  /// The reason of the pending move; `silent` if none is pending.
   MoveReason move_reason() const { return move_pending_ ? move_reason_ : MoveReason::silent; }
-  bool move_overdue() const;  // the message that the move waits for does not end
+  /// A move is pending, and the message that delays it has not ended in time.
+  bool move_overdue() const;
+  /// A message of the client is unanswered.
   bool awaits_answer() const { return !unanswered_.empty(); }
-  Time unanswered_since() const {
-    return unanswered_.front();
-  }                                     // the oldest message; only if awaits_answer()
-  bool stalled_inside_message() const;  // whether or not it is to move
+  /// When the oldest unanswered message was sent; requires awaits_answer().
+  Time unanswered_since() const { return unanswered_.front(); }
+  /// The worker has stopped sending inside a message, whether or not a move is pending.
+  bool stalled_inside_message() const;
 
-  // ---- From the client's side. After client_left the exchange calls it no more.
+  // ---- Called by the client's side, which the exchange does not use after client_left.
   void client_sent(const StreamChunk& chunk);
-  void client_left(CloseKind ending);
-  void client_blocked(bool on);  // the client takes no more for now
+  void client_left(CloseKind close_kind);
+  void client_blocked(bool on);  // whether the client's send buffer is full
 
-  // ---- From the worker's side.
+  // ---- Called by the worker's side.
+  /// Whether the client is still connected.
   bool client_waiting() const { return client_ && client_->is_connected(); }
-  bool may_begin() const;  // whether the worker may still be sent something new
+  /// Whether the worker may still be sent a new call.
+  bool may_begin() const;
+  /// The worker accepted the call; `receipt` is its answer, forwarded to the client.
   void worker_established(std::string_view receipt);
   void worker_sent(const StreamChunk& chunk);
   void worker_load(double load);
-  void worker_blocked(bool on);
-  void worker_ended(Outcome outcome, CloseKind ending, const LoadReport& report = {},
-                    std::string_view words = {});
+  void worker_blocked(bool on);  // whether the worker's send buffer is full
+  /// The attempt or the connection has ended. `error_text` is the worker's error message, if any.
+  void worker_ended(Outcome outcome, CloseKind close_kind, const LoadReport& report = {},
+                    std::string_view error_text = {});
 
  private:
   friend class Dispatcher;
   enum class State { waiting, established, over };
 
   void answer_overload(Time pause);
-  void answer_failed(std::string_view words);
+  void answer_failed(std::string_view error_text);
   void redirect(MoveReason reason);
   void redirect_now(MoveReason reason);
   void drop_attempt() { attempt_.reset(); }
@@ -78,27 +84,27 @@
   Dispatcher& dispatcher_;
   const std::uint64_t id_;
   const Call call_;
-  ClientSide* client_;  // none once it has left or the exchange is over
+  ClientSide* client_;  // null once it has left or the exchange is over
   WorkerSide& workers_;
   std::unique_ptr<Attempt> attempt_;
   State state_ = State::waiting;
   int attempts_ = 0;
   int handover_attempts_ = 0;
-  bool withheld_ = false;  // the module's latest attempt was not begun: the client has left, and is read soon
-  std::shared_ptr<const std::set<std::string>> allowed_workers_;  // workers it may use; none: any
+  bool withheld_ = false;  // the policy's last attempt was not begun: the client has left
+  std::shared_ptr<const std::set<std::string>> allowed_workers_;  // null: all workers
   std::string worker_, address_;                                  // of the latest attempt
-  Time sent_at_ = 0, deadline_;
-  bool move_pending_ = false;  // to be told to move as soon as the stream stands between two messages
-  bool client_at_boundary_ = true;
-  MoveReason move_reason_ = MoveReason::restart;  // only if move_pending_
-  Time moving_since_ = 0;
-  Time last_received_at_ = 0;  // when the worker's last bytes came
-  // When each message of the client went to the worker. Few at a time, and none on most: no deque, which
-  // takes half a kilobyte when it is empty.
+  Time attempt_started_at_ = 0, deadline_;
+  bool move_pending_ = false;                     // until the stream is at a message boundary
+  bool client_at_boundary_ = true;                // no message to the client is incomplete
+  MoveReason move_reason_ = MoveReason::restart;  // valid if move_pending_
+  Time move_requested_at_ = 0;
+  Time last_received_at_ = 0;  // from the worker
+  // The time at which each unanswered message was sent to the worker. A vector, since it is mostly empty and
+  // an empty deque allocates memory.
   std::vector<Time> unanswered_;
 };
 
-/// By call id.
+/// Exchanges by call id.
 using Exchanges = std::map<std::uint64_t, std::unique_ptr<Exchange>>;
 
 }  // namespace marblehub::core
--- a/src/core/message_monitor.cpp
+++ b/src/core/message_monitor.cpp
@@ -8,77 +8,75 @@
 namespace {
 
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
-// After a stall of the process, until what had come meanwhile has been read.
-constexpr Time kLookAfterStall = 20 * kMillisecond;
-// A connection that brings nothing back must have moved within 7 s. Clients speak every 2 s, so its last
-// answer may have come 2 s before the first message that has none; and the look at it is up to an interval
-// late.
+// After a stall of the process: leaves time to read the input that arrived meanwhile.
+constexpr Time kCheckDelayAfterStall = 20 * kMillisecond;
+// A connection without answers must be moved within 7 s. Clients send every 2 s, so its last answer may be 2
+// s older than its first unanswered message, and a check may be late by one interval.
 constexpr Time kSilenceBound = 4500 * kMillisecond;
-constexpr Time kLongestStall =
-    700 * kMillisecond;                    // messages that are slow for no longer than this move nobody
-constexpr Time kSlowMemory = 5 * kSecond;  // a slow message counts for so long if none follows
-constexpr Time kNoteInterval = kSecond;
-constexpr Time kSlowPart = 3;  // a delay over one part in so many of the objective is slow
+constexpr Time kMaxStall = 700 * kMillisecond;    // slow messages cause no moves within this time
+constexpr Time kSlowStreakTimeout = 5 * kSecond;  // a series of slow messages ends this long after the last
+constexpr Time kReportInterval = kSecond;
+constexpr Time kSlowDivisor = 3;  // delays above objective / kSlowDivisor are slow
 
 }  // namespace
 
 MessageMonitor::MessageMonitor(const policy::Settings& settings, Time now)
-    : objective_(policy::shortest_message_objective(settings)), looked_at_(now) {}
+    : objective_(policy::shortest_message_objective(settings)), last_check_at_(now) {}
 
 MessageMonitor::Schedule MessageMonitor::schedule(Time now) {
-  Time since = now - std::exchange(looked_at_, now);
-  put_off_ = since > 2 * kLookInterval && !put_off_;
-  return {!put_off_, put_off_ ? kLookAfterStall : kLookInterval};
+  Time since = now - std::exchange(last_check_at_, now);
+  postponed_ = since > 2 * kCheckInterval && !postponed_;
+  return {!postponed_, postponed_ ? kCheckDelayAfterStall : kCheckInterval};
 }
 
-MessageMonitor::Findings MessageMonitor::look(const Exchanges& exchanges, Time now) {
+MessageMonitor::Findings MessageMonitor::check(const Exchanges& exchanges, Time now) {
   Findings findings;
   for (auto next = watched_.begin(); next != watched_.end();) {
     auto it = exchanges.find(*next);
     const Exchange* exchange = it == exchanges.end() ? nullptr : it->second.get();
-    bool watch_on =
+    bool keep =
         exchange && exchange->is_established() && (exchange->move_pending() || exchange->awaits_answer());
-    next = watch_on ? std::next(next) : watched_.erase(next);
-    if (watch_on) judge(*exchange, now, findings);
+    next = keep ? std::next(next) : watched_.erase(next);
+    if (keep) check_exchange(*exchange, now, findings);
   }
   return findings;
 }
 
-void MessageMonitor::judge(const Exchange& exchange, Time now, Findings& findings) const {
+void MessageMonitor::check_exchange(const Exchange& exchange, Time now, Findings& findings) const {
   if (exchange.move_overdue()) {
-    findings.stopped.push_back(exchange.id());
+    findings.stalled.push_back(exchange.id());
     return;
   }
   if (!exchange.awaits_answer()) return;
   Time waited = now - exchange.unanswered_since();
   if (waited > kSilenceBound) {
-    if (!exchange.move_pending()) findings.newly_silent += 1;
-    (exchange.stalled_inside_message() ? findings.stopped : findings.silent).push_back(exchange.id());
+    if (!exchange.move_pending()) findings.newly_moved += 1;
+    (exchange.stalled_inside_message() ? findings.stalled : findings.silent).push_back(exchange.id());
   } else if (waited > objective_) {
     findings.late.push_back({exchange.id(), waited});
   }
 }
 
-// A single late message may be due to a stall that is over by the time it is heard of, as of a starved host:
-// no client is better off elsewhere for it.
-std::optional<Time> MessageMonitor::news(const std::string& worker, Time delay, Time now) {
-  Pace& pace = paces_[worker];
-  if (delay * kSlowPart <= objective_) {
-    pace.slow_since = kNotSlow;
-    pace.confirmed = false;
-    if (!std::exchange(pace.noted, false)) return std::nullopt;
-    pace.noted_at = now;
+// A single late message may result from a stall, for example of an overloaded host, that has ended by the
+// time of the report; moving clients would not help.
+std::optional<Time> MessageMonitor::latency_update(const std::string& worker, Time delay, Time now) {
+  WorkerLatency& latency = latencies_[worker];
+  if (delay * kSlowDivisor <= objective_) {
+    latency.slow_since = kNotSlow;
+    latency.confirmed = false;
+    if (!std::exchange(latency.reported, false)) return std::nullopt;
+    latency.reported_at = now;
     return delay;
   }
-  bool goes_on = pace.slow_since != kNotSlow && now - pace.slow_seen_at <= kSlowMemory;
-  if (!goes_on) pace.slow_since = now;
-  pace.slow_seen_at = now;
-  bool confirmed = now - pace.slow_since >= kLongestStall;
-  bool newly_confirmed = confirmed && !pace.confirmed;
-  if (!newly_confirmed && now - pace.noted_at < kNoteInterval) return std::nullopt;
-  pace.noted = true;
-  pace.confirmed = confirmed;
-  pace.noted_at = now;
+  bool continues = latency.slow_since != kNotSlow && now - latency.slow_seen_at <= kSlowStreakTimeout;
+  if (!continues) latency.slow_since = now;
+  latency.slow_seen_at = now;
+  bool confirmed = now - latency.slow_since >= kMaxStall;
+  bool newly_confirmed = confirmed && !latency.confirmed;
+  if (!newly_confirmed && now - latency.reported_at < kReportInterval) return std::nullopt;
+  latency.reported = true;
+  latency.confirmed = confirmed;
+  latency.reported_at = now;
   return confirmed ? delay : std::min(delay, objective_ / 2);
 }
 
--- a/src/core/message_monitor.h
+++ b/src/core/message_monitor.h
@@ -1,5 +1,5 @@
-/// Watches the messages on standing connections: how long their answers take, and which connections have
-/// fallen silent. The policy wants to hear when messages are slow, and on sockets nobody else tells.
+/// Measures the response times of messages on established connections, and detects connections whose worker
+/// stopped responding.
 #pragma once
 
 #include <cstdint>
@@ -14,63 +14,67 @@
 
 namespace marblehub::core {
 
+/// Holds the ids of calls to check and the latency state of each worker. Owned by the dispatcher.
 class MessageMonitor {
  public:
+  /// A message without an answer.
   struct LateMessage {
     std::uint64_t id = 0;  // of the call
-    Time waited = 0;
+    Time waited = 0;       // microseconds since it was sent
   };
+  /// The result of one check.
   struct Findings {
-    std::vector<LateMessage> late;       // messages unanswered for longer than the objective
-    std::vector<std::uint64_t> silent;   // calls whose worker has fallen silent
-    std::vector<std::uint64_t> stopped;  // the same, or due to move, inside a message that does not go on
-    std::size_t newly_silent = 0;        // of the silent and stopped those that were not to move already
+    std::vector<LateMessage> late;       // unanswered for longer than the objective
+    std::vector<std::uint64_t> silent;   // calls whose worker does not respond
+    std::vector<std::uint64_t> stalled;  // as silent, or with a move overdue, in an incomplete message
+    std::size_t newly_moved = 0;         // silent and stalled ones without a pending move
   };
 
-  static constexpr Time kLookInterval = 200'000;  // microseconds
+  static constexpr Time kCheckInterval = 200'000;  // microseconds
 
   MessageMonitor(const policy::Settings& settings, Time now);
 
-  /// Looks at this call from now on, until it neither waits for an answer nor has to move.
+  /// Checks this call until it has neither an unanswered message nor a pending move.
   void watch(std::uint64_t id) { watched_.insert(id); }
 
-  /// When to look next, in microseconds from now, and whether to look now. After a stall of the process the
-  /// answers may lie unread in the sockets, so one look is put off; the look after it judges, so that a
-  /// process that stalls again and again still looks.
+  /// Whether to check now, and the delay until the next check in microseconds. After a stall of the process,
+  /// answers may be unread in the sockets, so one check is postponed. The check after it takes place in any
+  /// case, so that repeated stalls do not prevent checks.
   struct Schedule {
-    bool look = true;
+    bool check = true;
     Time next_in = 0;
   };
   Schedule schedule(Time now);
 
-  /// Walks the watched calls.
-  Findings look(const Exchanges& exchanges, Time now);
+  /// Checks the watched calls.
+  Findings check(const Exchanges& exchanges, Time now);
 
-  /// What the policy is to be told of a message's delay at a worker, in microseconds; none: nothing new. Told
-  /// once a second for a worker that is slow, once more when it is back. Until messages have been slow for
-  /// longer than a stall they are told with half the objective at most, which moves nobody.
-  std::optional<Time> news(const std::string& worker, Time delay, Time now);
+  /// Records the delay of a message at a worker. Returns the delay to report to the policy, in microseconds;
+  /// none if there is nothing to report. A slow worker is reported once a second, and once more when it has
+  /// recovered. Until messages have been slow for longer than a stall, at most half the objective is
+  /// reported, which causes no moves.
+  std::optional<Time> latency_update(const std::string& worker, Time delay, Time now);
 
  private:
   static constexpr Time kNotSlow = -1;
 
-  struct Pace {                  // how messages at one worker fare
-    Time slow_since = kNotSlow;  // of the first of the slow messages that none in time has followed
-    Time slow_seen_at = 0;       // of the last of them
-    Time noted_at = 0;
-    bool noted = false;      // the policy takes it for slow
-    bool confirmed = false;  // and knows that this is no stall
+  struct WorkerLatency {         // of messages at one worker
+    Time slow_since = kNotSlow;  // first message of the current series of slow ones
+    Time slow_seen_at = 0;       // last message of the series
+    Time reported_at = 0;
+    bool reported = false;   // the last report to the policy was slow
+    bool confirmed = false;  // slow for longer than a stall
   };
 
-  void judge(const Exchange& exchange, Time now, Findings& findings) const;
+  void check_exchange(const Exchange& exchange, Time now, Findings& findings) const;
 
-  const Time objective_;  // the shortest of the classes' for a message
-  // Standing ones with a message unanswered or a move to make, and some that had: of many thousands that
-  // stand few have, and only these are looked at.
+  const Time objective_;  // the shortest message objective of all classes
+  // Calls that may have an unanswered message or a pending move. Only a few of the established connections
+  // do, so a check does not iterate over all of them.
   std::set<std::uint64_t> watched_;
-  std::unordered_map<std::string, Pace> paces_;  // by worker
-  Time looked_at_;
-  bool put_off_ = false;  // for the stall found at the last look
+  std::unordered_map<std::string, WorkerLatency> latencies_;  // by worker
+  Time last_check_at_;
+  bool postponed_ = false;  // the last check, after a stall
 };
 
 }  // namespace marblehub::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,5 +1,5 @@
-/// What the core asks of its surroundings. A front implements the client's and the worker's side of a call;
-/// the core knows neither descriptors nor wires nor the event loop.
+/// The interfaces that the core needs implemented. A front implements the client's and the worker's side of a
+/// call; the core is independent of sockets, protocols and the event loop.
 #pragma once
 
 #include <memory>
@@ -17,74 +17,80 @@
 
 class Exchange;
 
+/// The time source.
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Time now() const = 0;  // Unix time in microseconds that never goes back
+  virtual Time now() const = 0;  // Unix time in microseconds; never decreases
 };
 
-// How a side ended its part: in order, or by breaking off. Passed on as it came.
+/// How a side closed its stream: orderly (FIN) or aborted (RST). Forwarded to the other side unchanged.
 enum class CloseKind { orderly, aborted };
 
-// Why a standing connection's client is told to move: what the policy says of its worker; no answer on it for
-// too long; the planner, for balance or because routes name another pool; a planned restart.
+/// Why the client of an established connection is requested to move. draining to late: the policy's reasons;
+/// silent: the worker does not respond; balance, routes: the planner, the latter because routes name another
+/// pool; restart: this balancer restarts.
 enum class MoveReason { draining, down, overwhelmed, late, silent, balance, routes, restart };
 
-// Part of what one side sends the other while a connection stands.
+/// Part of the byte stream of an established connection.
 struct StreamChunk {
   std::string_view bytes;
-  int messages = 0;         // whole messages that end in it
-  bool at_boundary = true;  // after it the stream stands between two messages
+  int messages = 0;         // number of messages that end in it
+  bool at_boundary = true;  // no message is incomplete after it
 };
 
+/// The client's side of a call, implemented by a front.
 class ClientSide {
  public:
   virtual ~ClientSide() = default;
-  // The answer: exactly one of these three is called for a call whose client still waits.
+  // The answer: exactly one of these three is called, unless the client has left.
   virtual void established(std::string_view receipt) = 0;
   virtual void overload_reply(Time pause) = 0;
-  virtual void failed(std::string_view words) = 0;  // the worker's own words, if it had any
-  // Whether its client is still there, asked of the connection itself: the client's end may lie behind what
-  // has been read of it so far. True where that cannot be told.
+  virtual void failed(std::string_view error_text) = 0;  // the worker's error message, or empty
+  /// Whether the client is still connected. Checks the connection itself, as its end may not have been read
+  /// yet. True if that cannot be determined.
   virtual bool is_connected() const { return true; }
-  // While the connection stands.
+  // Called while the connection is established.
   virtual void deliver(std::string_view bytes) = 0;
-  virtual void hold(bool on) = 0;            // the worker takes no more for now
-  virtual void redirect() = 0;               // tell the client to come again, and end
-  virtual void ended(CloseKind ending) = 0;  // the worker's side has ended
+  virtual void hold(bool on) = 0;  // stops or resumes reading from the client: the worker is blocked
+  virtual void redirect() = 0;     // requests the client to reconnect, and closes
+  virtual void ended(CloseKind close_kind) = 0;  // the worker's side has closed
 };
 
-// One attempt: the call is out at one worker. Destroying it gives the attempt up.
+/// One attempt: the call as sent to one worker. Destroying it cancels the attempt.
 class Attempt {
  public:
   virtual ~Attempt() = default;
   virtual void deliver(std::string_view bytes) = 0;
-  virtual void hold(bool on) = 0;
-  virtual void finish(CloseKind ending) = 0;  // the client's side has ended; destroyed right after
-  // Whether a worker that says nothing to it is to blame. Not before it has been sent the call, nor where
-  // anyone may have made the call up and it cannot have run: a flood of those would have every worker taken
-  // for dead.
+  virtual void hold(bool on) = 0;                 // stops or resumes reading from the worker
+  virtual void finish(CloseKind close_kind) = 0;  // the client's side has closed; destroyed right after
+  /// Whether a time-out counts as a failure of the worker. False before the call has been sent, and for calls
+  /// that may be forged: a flood of those would otherwise mark every worker as failed.
   virtual bool timeout_blames_worker() const { return true; }
 };
 
+/// The worker's side of a front's calls.
 class WorkerSide {
  public:
   virtual ~WorkerSide() = default;
-  // Begins an attempt. What comes of it is told to the exchange, never from within this call.
+  /// Begins an attempt that may take up to `wait` microseconds. Results are reported to the exchange, but
+  /// never from within this call.
   virtual std::unique_ptr<Attempt> begin_attempt(Exchange& exchange, const std::string& worker,
                                                  const std::string& address, Time wait) = 0;
 };
 
+/// Sends probes; results go to Dispatcher::probe_result.
 class Prober {
  public:
   virtual ~Prober() = default;
   virtual void probe(const std::string& worker, const std::string& address) = 0;
 };
 
+/// The client of service discovery; lists go to Dispatcher::list_received and list_failed.
 class Registry {
  public:
   virtual ~Registry() = default;
-  virtual void watch_endpoints() = 0;
+  virtual void watch_endpoints() = 0;  // requests the list, or its next change
 };
 
 }  // namespace marblehub::core
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,4 +1,4 @@
-/// The dispatcher's timers, the earliest first.
+/// The dispatcher's timers.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,36 @@
 
 namespace marblehub::core {
 
+/// What a timer is for.
 enum class TimerKind {
-  policy,    // id: the policy's cookie
-  attempt,   // an attempt's time-out
-  deadline,  // of a call
-  monitor,   // standing connections are looked at
-  move,      // a standing connection is told to move
-  handover,  // a connection from before the start is offered to its worker again
+  policy,    // requested by the policy
+  attempt,   // time-out of an attempt
+  deadline,  // a call's deadline
+  monitor,   // check of established connections
+  move,      // the client of an established connection is requested to move
+  handover,  // next attempt to hand a connection from before the restart to its worker
 };
 
+/// One pending timer.
 struct Timer {
-  Time when = 0;
+  Time when = 0;  // due time
   TimerKind kind = TimerKind::policy;
-  std::uint64_t id = 0;  // of the call; the policy's cookie
-  int attempt = 0;
+  std::uint64_t id = 0;  // the call, or the policy's cookie
+  int attempt = 0;       // only for attempt timers
 };
 
+/// A queue of timers, ordered by due time. Timers cannot be cancelled: the handler ignores obsolete ones.
 class TimerQueue {
  public:
   void push(const Timer& timer) { timers_.push(timer); }
 
-  /// When the first one is due; none: there is none.
+  /// The due time of the earliest timer; none if the queue is empty.
   std::optional<Time> next_due() const {
     if (timers_.empty()) return std::nullopt;
     return timers_.top().when;
   }
 
-  /// Takes out the first one that is due by `now`.
+  /// Removes and returns the earliest timer if it is due by `now`.
   std::optional<Timer> pop_due(Time now) {
     if (timers_.empty() || timers_.top().when > now) return std::nullopt;
     Timer timer = timers_.top();
--- a/src/core/worker_directory.cpp
+++ b/src/core/worker_directory.cpp
@@ -31,7 +31,7 @@
     Worker& worker = workers_[entry.backend.address];
     if (!entry.address.empty() && entry.address != worker.address) {
       worker.address = entry.address;
-      worker.moved_since = written_at;
+      worker.address_changed_at = written_at;
     }
     set_health(worker, entry.backend.health, written_at);
     named.insert(entry.backend.address);
@@ -50,10 +50,9 @@
 bool WorkerDirectory::may_begin(const std::string& worker, const std::string& address, Time now) const {
   auto it = workers_.find(worker);
   if (it == workers_.end()) return true;
-  const Worker& known = it->second;
-  bool leaves = known.health != Health::serving && now - known.leaving_since >= drain_grace_;
-  bool moved =
-      known.address != address && now - known.moved_since >= drain_grace_;  // what was there has ended
+  const Worker& entry = it->second;
+  bool leaves = entry.health != Health::serving && now - entry.leaving_since >= drain_grace_;
+  bool moved = entry.address != address && now - entry.address_changed_at >= drain_grace_;
   return !leaves && !moved;
 }
 
--- a/src/core/worker_directory.h
+++ b/src/core/worker_directory.h
@@ -1,5 +1,5 @@
-/// The workers that service discovery has named, those that drain or are gone included: where each is
-/// reached, and whether it may still be sent something new.
+/// All workers that service discovery has listed, including draining and deleted ones: their addresses, and
+/// whether new calls may still be sent to them.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,34 @@
 
 namespace marblehub::core {
 
+/// Filled from the lists of service discovery. Owned by the dispatcher.
 class WorkerDirectory {
  public:
+  /// A worker as last listed.
   struct Worker {
-    std::string address;  // where this balancer reaches it
+    std::string address;  // at which this balancer reaches it
     policy::Health health = policy::Health::serving;
-    Time leaving_since = 0;  // when it was first said to drain or be gone
-    Time moved_since = 0;    // when it was said to be at another address than before
+    Time leaving_since = 0;       // when it was first listed as draining or deleted
+    Time address_changed_at = 0;  // when it was listed with another address than before
   };
   using Workers = std::unordered_map<std::string, Worker>;  // by name
 
-  /// `drain_grace`: how long after the news that a worker leaves something new may still be sent to it.
+  /// `drain_grace`: microseconds after a worker was listed as leaving in which new calls may still be sent.
   explicit WorkerDirectory(Time drain_grace) : drain_grace_(drain_grace) {}
 
-  /// Takes a list, or a change of one, that service discovery wrote at `written_at`; at the latest that is
-  /// `now`. What a complete list does not name is gone.
+  /// Applies a list, or a change of one, that service discovery wrote at `written_at`, not after `now`.
+  /// Workers that are missing in a full list count as deleted.
   void update(const config::WorkerList& list, Time written_at, Time now);
 
-  /// Empty: unknown.
+  /// The worker's address; empty if it is unknown.
   std::string address_of(const std::string& worker) const;
 
-  /// Whether the worker at this address may be sent something new. One that is unknown may.
+  /// Whether new calls may be sent to the worker at this address. True for unknown workers.
   bool may_begin(const std::string& worker, const std::string& address, Time now) const;
 
   const Workers& workers() const { return workers_; }
 
-  /// Grows with every list or change.
+  /// Incremented by every list and every change of one.
   std::uint64_t version() const { return version_; }
 
  private:
