--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -12,38 +12,38 @@
 
 using nlohmann::json;
 
-std::string plain(const json& value) {
+std::string to_text(const json& value) {
   if (value.is_string()) return value.get<std::string>();
   if (value.is_null()) return "";
   return value.dump();
 }
 
-constexpr int kDeepest = 32;  // no file of ours comes near; without a bound the stack is the bound
+constexpr int kMaxDepth = 32;  // bounds the recursion
 
-void flatten_into(Values& values, const std::string& path, const json& value, int depth = 0) {
-  if (depth > kDeepest) throw DecodeError("nested too deep");
+void flatten_value(Values& values, const std::string& path, const json& value, int depth = 0) {
+  if (depth > kMaxDepth) throw DecodeError("nested too deep");
   std::string prefix = path;
   if (!path.empty()) prefix += '.';
   if (value.is_object()) {
-    for (const auto& [key, item] : value.items()) flatten_into(values, prefix + key, item, depth + 1);
+    for (const auto& [key, item] : value.items()) flatten_value(values, prefix + key, item, depth + 1);
   } else if (value.is_array() && !value.empty() && value.front().is_structured()) {
     values[prefix + "count"] = std::to_string(value.size());
     for (std::size_t i = 0; i < value.size(); ++i)
-      flatten_into(values, prefix + std::to_string(i), value[i], depth + 1);
+      flatten_value(values, prefix + std::to_string(i), value[i], depth + 1);
   } else if (value.is_array()) {
     std::string joined;
     for (const json& item : value) {
       if (!joined.empty()) joined += ',';
-      joined += plain(item);
+      joined += to_text(item);
     }
     values[path] = joined;
   } else {
-    values[path] = plain(value);
+    values[path] = to_text(value);
   }
 }
 
-// An address that can be spoken to: a wrong one must not be found out only when it is needed.
-const std::string& address_at(const Options& options, std::string_view key) {
+// Returns an address after checking it, so that an invalid one is reported at load time.
+const std::string& read_address(const Options& options, std::string_view key) {
   const std::string& text = options.text(key);
   if (!parse_address(text)) options.refuse(key, "a.b.c.d:port");
   return text;
@@ -58,8 +58,8 @@
          parse_number<std::uint16_t>(text.substr(end + 2));
 }
 
-// A worker's, which the QUIC front may reach over IPv6 as well.
-const std::string& worker_address_at(const Options& options, std::string_view key) {
+// As read_address, but also accepts IPv6, which the QUIC front supports for workers.
+const std::string& read_worker_address(const Options& options, std::string_view key) {
   const std::string& text = options.text(key);
   if (!parse_address(text) && !is_ipv6_address(text)) options.refuse(key, "a.b.c.d:port or [IPv6]:port");
   return text;
@@ -92,7 +92,7 @@
   if (!document.is_object()) throw DecodeError(place + "expected a JSON object");
   Values values;
   try {
-    flatten_into(values, "", document);
+    flatten_value(values, "", document);
   } catch (const DecodeError& error) {
     throw DecodeError(place + error.what());
   }
@@ -127,7 +127,7 @@
   list.index = options.number<std::int64_t>("index", 0);
   list.snapshot = options.flag("snapshot");
   auto count = options.number_or<std::size_t>("endpoints.count", 0, 0);
-  // Taken for an empty one, a list that is cut or of another form would end every worker.
+  // A truncated list, or one of another type, must not count as empty: that would delete every worker.
   if (count == 0 && !options.text("endpoints").empty()) options.refuse("endpoints", "a list of workers");
   for (std::size_t i = 0; i < count; ++i) {
     std::string path = "endpoints." + std::to_string(i) + ".";
@@ -138,7 +138,7 @@
         {{"ready", Health::serving}, {"draining", Health::draining}, {"gone", Health::deleted}});
     if (const std::string* zone = options.find(path + "zone")) entry.backend.zone = *zone;
     const std::string* address = options.find(path + "address");
-    if (address && !address->empty()) entry.address = worker_address_at(options, path + "address");
+    if (address && !address->empty()) entry.address = read_worker_address(options, path + "address");
     entry.backend.cell = options.number_or<std::int64_t>(path + "group", -1, -1);
     entry.backend.scale = options.number_or<double>(path + "weight", 0, 1);
     auto since_ms = options.number_or<std::int64_t>(path + "since_ms", 0, 0);
@@ -149,23 +149,23 @@
   return list;
 }
 
-// The platform counts one that is longer, or not stated, as 3 s.
-static marblehub::policy::Time longest_deadline_in(const Options& settings) {
-  constexpr double most_us = 3e6;
+// The longest give_up_us of all classes. Longer and missing values count as 3 s, as they do for the platform.
+static marblehub::policy::Time longest_deadline_from(const Options& settings) {
+  constexpr double max_us = 3e6;
   double longest = 0;
   int classes = settings.number<int>("request_classes.count", 1);
   for (int i = 0; i < classes; ++i) {
     std::string key = "request_classes." + std::to_string(i) + ".give_up_us";
-    longest = std::max(longest, settings.number_or<double>(key, 0, most_us));
+    longest = std::max(longest, settings.number_or<double>(key, 0, max_us));
   }
-  return static_cast<marblehub::policy::Time>(std::min(longest, most_us));
+  return static_cast<marblehub::policy::Time>(std::min(longest, max_us));
 }
 
 Startup startup_from(const Options& all) {
   Startup s;
   s.name = all.text("name");
-  s.listen = address_at(all, "listen");
-  s.registry = address_at(all, "discovery");
+  s.listen = read_address(all, "listen");
+  s.registry = read_address(all, "discovery");
   if (const std::string* seed = all.find("seed")) {
     auto [end, error] = std::from_chars(seed->data(), seed->data() + seed->size(), s.seed, 16);
     if (error != std::errc() || end != seed->data() + seed->size())
@@ -175,7 +175,7 @@
   if (all.find("known.snapshot")) s.known = list_from(sub_options(all, "known", "known: "));
   Options settings = sub_options(all, "settings", "settings: ");
   s.settings = settings_from(settings);
-  s.longest_deadline = longest_deadline_in(settings);
+  s.longest_deadline = longest_deadline_from(settings);
   if (const std::string* file = all.find("quic")) s.quic_file = *file;
   if (const std::string* file = all.find("remote_write")) s.remote_write_file = *file;
   if (const std::string* file = all.find("rebalance")) s.rebalance_file = *file;
@@ -193,11 +193,11 @@
   std::set<std::string> differ;
   auto compare = [&](const Values& one, const Values& other) {
     for (const auto& [key, value] : one) {
-      // Followed at once; news of the registry only, of which the file is a memory; and new with each start.
-      bool followed =
+      // Applied at once, superseded by lists of the registry, or different at each start.
+      bool ignored =
           key == "discovery" || key == "limits.sockets" || key.starts_with("known.") || key == "seed";
       auto it = other.find(key);
-      if (!followed && (it == other.end() || it->second != value)) differ.insert(key);
+      if (!ignored && (it == other.end() || it->second != value)) differ.insert(key);
     }
   };
   compare(in_force, reloaded);
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,5 +1,4 @@
-// JSON documents, flattened into path=value pairs for the common decoder. No field is read from JSON
-// directly.
+/// Reads JSON documents: flattens them into path=value pairs, and decodes worker lists and the starting file.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,59 +13,66 @@
 
 namespace marblehub::config {
 
-std::optional<sockaddr_in> parse_address(std::string_view text);  // a.b.c.d:port
+/// Parses a.b.c.d:port; none if it is malformed.
+std::optional<sockaddr_in> parse_address(std::string_view text);
 
-std::optional<std::string> read_file(const std::string& path);  // none where it cannot be read
+/// The content of a file; none if it cannot be read.
+std::optional<std::string> read_file(const std::string& path);
 
-// Comments that begin with // are passed over. A list of plain values is joined by commas; a list of objects
-// gives .count and its items under .0, .1 ...
+/// Flattens a JSON object. Comments that begin with // are ignored. A list of plain values is joined by
+/// commas; a list of objects becomes .count and its items under .0, .1 and so on. `place` names the source in
+/// errors. Throws DecodeError.
 Options flatten(std::string_view json, std::string place);
 
-// The same for a file, whose path is the place; one that cannot be read is refused.
+/// Flattens the content of a file, with its path as `place`. Throws DecodeError if it cannot be read.
 Options load_options(const std::string& path);
 
-// The part of the options below `path`, with the path taken off.
+/// The options below `path`, with the path removed from their keys. `options` must outlive the result.
 Options sub_options(const Options& options, std::string_view path, std::string place);
 
+/// One worker of a list.
 struct WorkerEntry {
-  marblehub::policy::BackendEntry backend;  // its address is the worker's name: the same at every balancer
-  std::string address;                      // where this balancer reaches it
+  marblehub::policy::BackendEntry backend;  // its `address` is the worker's name, equal at all balancers
+  std::string address;                      // at which this balancer reaches it
 };
 
-// One answer of the registry, or the list a balancer is started with.
+/// A response of the registry, or the list in the starting file.
 struct WorkerList {
-  std::int64_t index = 0;
-  bool snapshot = true;
+  std::int64_t index = 0;  // the list's version
+  bool snapshot = true;    // a full list; else only changed workers
   std::vector<WorkerEntry> workers;
 
   std::vector<std::string> names() const;
 };
+/// Throws DecodeError.
 WorkerList list_from(const Options& options);
 
-// What the platform hands a balancer at start.
+/// The content of the starting file.
 struct Startup {
   std::string name, listen, registry;
   std::uint64_t seed = 0;
-  std::int64_t sockets = 1024;
-  WorkerList known;
+  std::int64_t sockets = 1024;  // limits.sockets
+  WorkerList known;             // the last known list of workers
   marblehub::policy::Settings settings;
-  marblehub::policy::Time longest_deadline = 0;  // of the classes' give_up_us, as a planned restart counts it
-  std::string quic_file = "deploy/quic.json";    // of the second front; off where there is none
-  std::string remote_write_file = "deploy/remote_write.json";  // the same
-  std::string rebalance_file = "deploy/rebalance.json";        // of the planner of moves; the same
-  std::string fleet_file = "deploy/fleet.json";                // of what balancers keep together; the same
-  std::string log_file = "deploy/log.json";                    // how much the log says; info without one
+  marblehub::policy::Time longest_deadline = 0;                // longest give_up_us; limits a planned restart
+  std::string quic_file = "deploy/quic.json";                  // QUIC front; disabled if the file is missing
+  std::string remote_write_file = "deploy/remote_write.json";  // remote write; disabled if missing
+  std::string rebalance_file = "deploy/rebalance.json";        // rebalancing; disabled if missing
+  std::string fleet_file = "deploy/fleet.json";  // state shared by the balancers; disabled if missing
+  std::string log_file = "deploy/log.json";      // log level; info if missing
 };
+/// Throws DecodeError.
 Startup startup_from(const Options& options);
 
-// A starting file, decoded whole or not at all: what is wrong is thrown with its place and key.
+/// A decoded starting file.
 struct LoadedStartup {
   Startup startup;
-  Values values;  // as they stand in the file, to tell what a reload would change
+  Values values;  // as written in the file, to compare with a reloaded one
 };
+/// Throws DecodeError with the file and the key.
 LoadedStartup load_startup(const std::string& path);
 
-// The keys of a reloaded file that differ from those in force and take a restart to follow.
+/// The keys whose values differ from those in force and are applied only by a restart.
 std::vector<std::string> needs_restart(const Values& in_force, const Values& reloaded);
 
 }  // namespace marblehub::config
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -27,13 +27,13 @@
   s.price_probe = options.number_or<double>("prices.probe", 0, 0);
   s.price_cross_zone = options.number_or<double>("prices.cross_zone", 0, 0);
 
-  std::vector<double> aims;  // absent where there are no standing connections
+  std::vector<double> objectives;  // for messages, in microseconds, by class; optional
   if (const std::string* list = options.find("specifics.message_aim_us")) {
     for (std::size_t at = 0; at < list->size();) {
       std::size_t comma = std::min(list->find(',', at), list->size());
-      std::optional<double> aim = parse_number<double>(std::string_view(*list).substr(at, comma - at));
-      if (!aim || *aim < 0) options.refuse("specifics.message_aim_us", "numbers, 0 or more");
-      aims.push_back(*aim);
+      std::optional<double> objective = parse_number<double>(std::string_view(*list).substr(at, comma - at));
+      if (!objective || *objective < 0) options.refuse("specifics.message_aim_us", "numbers, 0 or more");
+      objectives.push_back(*objective);
       at = comma + 1;
     }
   }
@@ -50,7 +50,8 @@
         {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
     c.dedup_window_us = options.number<Time>(path + "window_us", 0);
     c.stream = options.flag(path + "stream");
-    if (static_cast<std::size_t>(i) < aims.size()) c.message_objective_us = static_cast<Time>(aims[i]);
+    if (static_cast<std::size_t>(i) < objectives.size())
+      c.message_objective_us = static_cast<Time>(objectives[i]);
     s.classes.push_back(std::move(c));
   }
   if (auto error = validate(s)) options.refuse(error->key, "another value");
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -1,5 +1,5 @@
-// The one place where settings and lists are decoded. A source (the bench's attach line, a JSON document)
-// is brought into path=value pairs; everything after that is common to the adapter and the program.
+/// Decodes settings from path=value pairs, which the adapter makes from its attach line and the program from
+/// JSON documents.
 #pragma once
 
 #include <charconv>
@@ -17,8 +17,7 @@
 
 namespace marblehub::config {
 
-/// What is wrong with the input: what() is one plain line that names the place and, where one is at fault,
-/// the key.
+/// An error in the input. what() is one line that names the place and, if a single one is at fault, the key.
 class DecodeError : public std::runtime_error {
  public:
   explicit DecodeError(const std::string& message) : std::runtime_error(message) {}
@@ -26,13 +25,14 @@
       : std::runtime_error(place + "setting " + std::string(key) + ": expected " + std::string(expected)),
         key_(key) {}
 
-  /// The key at fault; empty where the input as a whole is wrong.
+  /// The key at fault; empty if the error concerns the whole input.
   const std::string& key() const { return key_; }
 
  private:
   std::string key_;
 };
 
+/// Parses the whole text as a number; none if that fails or the value is not finite.
 template <class Number>
 std::optional<Number> parse_number(std::string_view text) {
   Number value{};
@@ -43,19 +43,23 @@
   return value;
 }
 
+/// Values by path.
 using Values = std::map<std::string, std::string, std::less<>>;
 
-// Path=value pairs, and where they came from.
+/// Path=value pairs and their source. Keeps track of the keys that are read. Functions that return a value
+/// throw DecodeError if it is invalid, or missing without a default.
 class Options {
  public:
   Options(Values values, std::string place) : values_(std::move(values)), place_(std::move(place)) {}
-  // A part of `whole`, which hears of the keys that are read here.
-  Options(Values values, std::string place, const Options& whole, std::string prefix)
-      : values_(std::move(values)), place_(std::move(place)), whole_(&whole), prefix_(std::move(prefix)) {}
+  /// A part of `parent`, in which the keys read here are marked as read too.
+  Options(Values values, std::string place, const Options& parent, std::string prefix)
+      : values_(std::move(values)), place_(std::move(place)), parent_(&parent), prefix_(std::move(prefix)) {}
 
+  /// Throws DecodeError for this key.
   [[noreturn]] void refuse(std::string_view key, std::string_view expected) const {
     throw DecodeError(place_, key, expected);
   }
+  /// Null if the key is missing.
   const std::string* find(std::string_view key) const {
     auto it = values_.find(key);
     if (it == values_.end()) return nullptr;
@@ -68,17 +72,18 @@
     return *value;
   }
   template <class Number>
-  Number number(std::string_view key, Number least) const {
+  Number number(std::string_view key, Number min) const {
     std::optional<Number> value = parse_number<Number>(text(key));
-    if (!value || *value < least) refuse(key, "a number, " + std::to_string(least) + " or more");
+    if (!value || *value < min) refuse(key, "a number, " + std::to_string(min) + " or more");
     return *value;
   }
   template <class Number>
-  Number number_or(std::string_view key, Number least, Number absent) const {
-    return find(key) ? number<Number>(key, least) : absent;
+  Number number_or(std::string_view key, Number min, Number default_value) const {
+    return find(key) ? number<Number>(key, min) : default_value;
   }
-  double share_or(std::string_view key, double least, double absent) const {
-    double value = number_or(key, least, absent);
+  /// A number from `min` to 1.
+  double share_or(std::string_view key, double min, double default_value) const {
+    double value = number_or(key, min, default_value);
     if (value > 1) refuse(key, "a share from 0 to 1");
     return value;
   }
@@ -87,6 +92,7 @@
     if (value != "true" && value != "false") refuse(key, "true or false");
     return value == "true";
   }
+  /// The choice whose name is the value.
   template <class Choice>
   Choice choice(std::string_view key,
                 std::initializer_list<std::pair<std::string_view, Choice>> choices) const {
@@ -98,18 +104,18 @@
     }
     refuse(key, "one of " + names);
   }
-  // The key under which a renamed setting is given: `current`, or `former`, its name in files of older
-  // versions, which is then among former_keys(). Throws DecodeError where both are given.
+  /// The key under which a renamed setting is given: `current`, or `former`, its name in files of older
+  /// versions, which is then added to former_keys(). Throws DecodeError if both are given.
   std::string_view renamed(std::string_view current, std::string_view former) const {
     if (!find(former)) return current;
     if (find(current)) refuse(former, "only " + std::string(current) + ", its present name");
     former_keys_.emplace(former, current);
     return former;
   }
-  // The former names that were read, each with the name to use in its place.
+  /// The former keys that were read, with the present key of each.
   const Values& former_keys() const { return former_keys_; }
   const Values& values() const { return values_; }
-  // Keys that nobody has asked for: a misspelt one is among them.
+  /// Keys that were not read, such as misspelt ones.
   std::vector<std::string> unread() const {
     std::vector<std::string> keys;
     for (const auto& [key, value] : values_)
@@ -120,17 +126,18 @@
  private:
   void mark_read(const std::string& key) const {
     read_.insert(key);
-    if (whole_) whole_->mark_read(prefix_ + key);
+    if (parent_) parent_->mark_read(prefix_ + key);
   }
 
   Values values_;
   std::string place_;
-  const Options* whole_ = nullptr;
+  const Options* parent_ = nullptr;
   std::string prefix_;
   mutable std::set<std::string> read_;
   mutable Values former_keys_;
 };
 
+/// The policy's settings. Throws DecodeError.
 marblehub::policy::Settings settings_from(const Options& options);
 
 }  // namespace marblehub::config
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -75,7 +75,7 @@
   /// To be called before each poll of the fronts' sockets, after the events of the previous poll have been
   /// handled.
   void before_wait() { poll_started_at_ = now(); }
-  /// Frees exchanges that are over. Must not be called from within a call to the dispatcher.
+  /// Frees exchanges that are over. Must not be called while a function of an exchange is running.
   void free_ended() { ended_.clear(); }
 
   // ---- A planned restart.
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// One line a message on standard error, which the platform keeps as the balancer's log.
+/// Writes log messages to standard error, one per line.
 #pragma once
 
 #include <fmt/format.h>
@@ -7,8 +7,10 @@
 
 namespace marblehub::log {
 
+/// Severity, in ascending order.
 enum class Level { debug, info, warning, error };
 
+/// Messages below this level are dropped.
 inline Level threshold = Level::info;
 
 template <class... Args>
--- a/src/log/settings.h
+++ b/src/log/settings.h
@@ -1,4 +1,4 @@
-// The log's file, deploy/log.json: how much is said. Without one, info and above.
+/// Decodes deploy/log.json. Without that file the level is info.
 #pragma once
 
 #include "config/options.h"
@@ -6,8 +6,8 @@
 
 namespace marblehub::log {
 
-// `level`: debug, info, warning or error. At debug every call, probe and registry call is a line, from which
-// tools/fleet_table.py counts over a whole fleet.
+/// The key `level`: debug, info, warning or error. At debug, every call, probe and registry call is logged;
+/// tools/fleet_table.py evaluates these lines. Throws config::DecodeError.
 inline Level level_from(const config::Options& options) {
   return options.choice<Level>(
       "level",
--- a/src/metrics/registry.h
+++ b/src/metrics/registry.h
@@ -1,5 +1,5 @@
-// What the program counts. Metrics are registered once, at start, and read by the exposition, the remote
-// writer and the print at exit. Names follow the Prometheus conventions.
+/// The program's metrics. They are registered once, at start, and read by the exposition, remote write and
+/// the output at exit. Names follow the Prometheus conventions.
 #pragma once
 
 #include <deque>
@@ -13,12 +13,14 @@
 
 using Labels = core::Counters::Labels;
 
+/// One time series.
 struct Metric : core::Counter {
   std::string name, help;
   bool counter = true;  // else a gauge
   Labels labels;
 };
 
+/// Owns all metrics.
 class Registry final : public core::Counters {
  public:
   Metric& counter(std::string name, std::string help, Labels labels = {}) override {
@@ -30,10 +32,10 @@
   const std::deque<Metric>& all() const { return metrics_; }
 
  private:
-  std::deque<Metric> metrics_;  // a deque: references stay good
+  std::deque<Metric> metrics_;  // a deque, since references must remain valid
 };
 
-// The text exposition format, version 0.0.4.
+/// All metrics in the Prometheus text exposition format, version 0.0.4.
 std::string exposition(const Registry& registry);
 
 }  // namespace marblehub::metrics
