--- a/tests/drain_grace_test.cpp
+++ b/tests/drain_grace_test.cpp
@@ -1,5 +1,5 @@
-// How long a call under way may still begin at a worker that has been told to drain: as long as the settings
-// say.
+// Attempts must not begin at a draining worker after the grace period of the settings, nor be stopped much
+// before its end.
 #include <catch2/catch.hpp>
 
 #include "fleet/service/dispatcher_fixture.h"
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("nothing begins at a draining worker after the grace that the settings give") {
+TEST_CASE("no attempt begins at a draining worker after the grace period of the settings") {
   for (Time grace : {0, 50, 120, 250, 500}) {
     INFO("grace of " << grace << " ms");
     DispatcherFixture d(settings_with_grace(grace * kMillisecond), 1);
@@ -39,11 +39,11 @@
     d.run(100 * kMillisecond);
     REQUIRE(d.last_worker.size() == 1);
     REQUIRE(exchange.may_begin());
-    Time told = d.at;
+    Time reported_at = d.at;
     d.dispatcher->list_received(draining(test::workers(1).front()));
-    Time last = -1;  // milliseconds after the news at which the call might still have begun
+    Time last = -1;  // latest time in milliseconds at which an attempt could begin
     for (Time waited = 0; waited <= 1000; waited += 10) {
-      d.at = told + waited * kMillisecond;
+      d.at = reported_at + waited * kMillisecond;
       if (exchange.may_begin()) last = waited;
     }
     CHECK(last < grace);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,4 +1,4 @@
-// The recorded exchanges of tests/exchanges, one file a section, and floods that no recording holds.
+// Plays the recorded exchanges of tests/exchanges, one section per file. Floods are tested separately.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <vector>
@@ -18,7 +18,7 @@
   }
 }
 
-TEST_CASE("a client that does not read holds its worker up, in bounded memory, and loses nothing") {
+TEST_CASE("a client that does not read blocks its worker, with bounded memory and without loss") {
   int worker = bound(SOCK_STREAM);
   ::listen(worker, 1);
   json known = json::array({{{"name", "w1"},
@@ -38,7 +38,8 @@
   ::send(call, "UP r\r\n", 6, 0);
   std::string block = std::string(1022, 'x') + "\r\n";
   std::size_t sent = 0, got = 0;
-  for (std::int64_t quiet_since = now_ms(); now_ms() - quiet_since < 500;) {  // until it takes no more
+  for (std::int64_t quiet_since = now_ms();
+       now_ms() - quiet_since < 500;) {  // until the program stops reading
     ssize_t n = ::send(call, block.data(), block.size(), MSG_DONTWAIT);
     if (n <= 0) continue;
     sent += static_cast<std::size_t>(n);
@@ -57,8 +58,8 @@
   ::close(worker);
 }
 
-// The lingering close would else read all of it, and hold a descriptor meanwhile.
-TEST_CASE("60 MB without a line end are an error at once, and are not read to the end") {
+// A lingering close must not read the rest of such input, as it holds a descriptor until its end.
+TEST_CASE("60 MB without a line end are rejected at once and not read to the end") {
   json own = settings();
   own["limits"]["probes"] = false;
   Program program(json::array(), own, free_port(SOCK_STREAM));
--- a/tests/support/exchange/connection.h
+++ b/tests/support/exchange/connection.h
@@ -1,4 +1,4 @@
-// A connection of a stand-in, and the texts that steps write.
+// A connection of a simulated client, worker or registry, and the parsing of texts in steps.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,49 +16,50 @@
 
 namespace marblehub::test {
 
-inline constexpr int kStepTimeout = 4000;
-inline constexpr int kFloodTimeout = 10000;
-inline constexpr int kBetweenBytes =
-    2000;  // microseconds, in which the program reads what its system has taken
-inline constexpr std::size_t kFloodAtOnce = 1 << 20;  // bytes of a flood handed to the system in one send
+inline constexpr int kStepTimeout = 4000;    // milliseconds
+inline constexpr int kFloodTimeout = 10000;  // milliseconds
+inline constexpr int kByteInterval = 2000;   // microseconds, within which the program reads received bytes
+inline constexpr std::size_t kMaxFloodSend = 1 << 20;  // bytes passed to one send
 
-struct Conn {
+// Owns a socket, and reads from it without blocking.
+struct Connection {
   int fd = -1;
-  std::string in;
-  enum { open, fin, rst } end = open;
-  bool call = false;
-  bool stalled = false;     // its peer stopped reading
-  std::string pending;      // of a flood: sent as the program takes it
-  std::string unsent;       // goes out once the connection is up
-  bool reset_seen = false;  // by a send of the flood: the next read ends with 0 then
-  ~Conn() { ::close(fd); }
+  std::string received;  // not yet consumed by steps
+  enum { open, fin, rst } state = open;
+  bool call = false;          // carries a call
+  bool stalled = false;       // does not read
+  std::string flood_backlog;  // rest of a flood, sent as the program reads
+  std::string unsent;         // sent once the connection is established
+  bool reset_seen = false;    // by a send of the flood, after which the next read returns 0
+  ~Connection() { ::close(fd); }
 
   void read() {
     if (!unsent.empty() && ::send(fd, unsent.data(), unsent.size(), MSG_NOSIGNAL | MSG_DONTWAIT) > 0)
       unsent.clear();
     if (!unsent.empty()) return;
     char buffer[8192];
-    while (end == open && !stalled) {
+    while (state == open && !stalled) {
       ssize_t n = ::recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-      if (n <= 0) end = n == 0 && !reset_seen ? fin : rst;
-      if (n > 0) in.append(buffer, static_cast<std::size_t>(n));
+      if (n <= 0) state = n == 0 && !reset_seen ? fin : rst;
+      if (n > 0) received.append(buffer, static_cast<std::size_t>(n));
     }
   }
+  // Consumes a received line; none if it is incomplete.
   std::optional<std::string> line() {
-    std::size_t at = in.find("\r\n");
+    std::size_t at = received.find("\r\n");
     if (at == std::string::npos) return std::nullopt;
-    std::string text = in.substr(0, at);
-    in.erase(0, at + 2);
+    std::string text = received.substr(0, at);
+    received.erase(0, at + 2);
     return text;
   }
-  void send_pending() {
-    while (end == open && !pending.empty()) {
-      ssize_t n =
-          ::send(fd, pending.data(), std::min(pending.size(), kFloodAtOnce), MSG_NOSIGNAL | MSG_DONTWAIT);
+  void send_backlog() {
+    while (state == open && !flood_backlog.empty()) {
+      ssize_t n = ::send(fd, flood_backlog.data(), std::min(flood_backlog.size(), kMaxFloodSend),
+                         MSG_NOSIGNAL | MSG_DONTWAIT);
       if (n < 0 && errno == ECONNRESET) reset_seen = true;
       if (n <= 0) return;
-      pending.erase(0, static_cast<std::size_t>(n));
+      flood_backlog.erase(0, static_cast<std::size_t>(n));
     }
   }
   void send(const std::string& text) { ::send(fd, text.data(), text.size(), MSG_NOSIGNAL); }
@@ -70,7 +71,7 @@
   }
 };
 
-inline json::json_pointer pointer_to(std::string path) {  // of a key such as limits.sockets
+inline json::json_pointer pointer_to(std::string path) {  // from a key such as limits.sockets
   std::replace(path.begin(), path.end(), '.', '/');
   return json::json_pointer("/" + path);
 }
@@ -93,12 +94,14 @@
     text.replace(at, what.size(), by);
 }
 
+// Replaces ~n~ by a line end, and ~cr~ by its first byte.
 inline std::string with_line_ends(std::string text) {
   replace_all(text, "~n~", "\r\n");
   replace_all(text, "~cr~", "\r");
   return text;
 }
 
+// Whether the text equals the pattern, in which ~ stands for one or more digits.
 inline bool matches(const std::string& pattern, const std::string& text) {
   std::size_t t = 0;
   for (char p : pattern) {
--- a/tests/support/exchange/registry.cpp
+++ b/tests/support/exchange/registry.cpp
@@ -1,9 +1,9 @@
-// The stand-in of service discovery.
+// Steps of the simulated registry of service discovery.
 #include "support/exchange/player.h"
 
 namespace marblehub::test {
 
-void ExchangePlayer::tell(const std::string& name, const std::string& status) {
+void ExchangePlayer::registry_step(const std::string& name, const std::string& status) {
   if (name == "503") {
     fail_next_ = true;
   } else if (name == "piece") {
@@ -16,11 +16,11 @@
     drain_accept_queue(registry_fd_, registry_fillers_);
     registry_accepts_ = true;
   } else if (name == "within") {
-    return until([&] { return registry_asked(); }, std::stoi(status));
+    return wait_until([&] { return registry_has_request(); }, std::stoi(status));
   } else if (name == "joins") {
-    REQUIRE(registry_joins_ == std::stoi(status));
+    REQUIRE(registry_connection_count_ == std::stoi(status));
   } else if (name == "ends") {
-    return registry_ends(status);
+    return expect_registry_close(status);
   } else if (name == "hold" || name == "release") {
     registry_held_ = name == "hold";
   } else if (name == "raw" || name == "body") {
@@ -35,26 +35,26 @@
   } else if (name == "up") {
     registry_up();
   } else if (name == "version") {
-    index_ = std::stoi(status) - 1;
+    list_version_ = std::stoi(status) - 1;
   } else if (name == "hush") {
-    registry_->in.clear();
+    registry_->received.clear();
   } else {
-    entries_[name]["status"] = status;
-    changed_.push_back(entries_[name]);
+    worker_entries_[name]["status"] = status;
+    pending_changes_.push_back(worker_entries_[name]);
   }
-  pump();
+  run_once();
 }
 
 void ExchangePlayer::reload(const std::string& path, const std::string& value) {
   if (path == "registry") {
     ::close(registry_fd_);
-    if (registry_) registry_before_.push_back(std::move(registry_));
+    if (registry_) former_registry_connections_.push_back(std::move(registry_));
     registry_fd_ = bound(SOCK_STREAM | SOCK_NONBLOCK);
     ::listen(registry_fd_, 16);
     registry_fillers_.clear();
     registry_accepts_ = true;
     program_->config()["discovery"] = text_of(port_of(registry_fd_));
-    whole_ = true;
+    full_list_due_ = true;
   } else if (!value.empty()) {
     program_->config()[pointer_to(path)] = json::parse(value);
   }
@@ -66,8 +66,9 @@
 }
 
 void ExchangePlayer::answer_literally(const std::string& form, const std::string& text) {
-  until([&] { return registry_ && registry_->in.find("\r\n\r\n") != std::string::npos; }, kStepTimeout);
-  registry_->in.clear();
+  wait_until([&] { return registry_ && registry_->received.find("\r\n\r\n") != std::string::npos; },
+             kStepTimeout);
+  registry_->received.clear();
   if (form == "raw") return registry_->send(text);
   registry_->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
 }
@@ -88,16 +89,16 @@
   ::listen(registry_fd_, 16);
 }
 
-bool ExchangePlayer::registry_asked() const {
-  return registry_ && registry_->in.starts_with("GET ") &&
-         registry_->in.find("\r\n\r\n") != std::string::npos;
+bool ExchangePlayer::registry_has_request() const {
+  return registry_ && registry_->received.starts_with("GET ") &&
+         registry_->received.find("\r\n\r\n") != std::string::npos;
 }
 
-void ExchangePlayer::registry_ends(const std::string& how) {
+void ExchangePlayer::expect_registry_close(const std::string& how) {
   std::size_t limit = how.find(" [");
-  auto end = how.starts_with("fin") ? Conn::fin : Conn::rst;
-  until([&] { return registry_ && registry_->end == end; },
-        limit == std::string::npos ? kStepTimeout : std::stoi(how.substr(limit + 2)));
+  auto end = how.starts_with("fin") ? Connection::fin : Connection::rst;
+  wait_until([&] { return registry_ && registry_->state == end; },
+             limit == std::string::npos ? kStepTimeout : std::stoi(how.substr(limit + 2)));
 }
 
 std::string ExchangePlayer::with_addresses(std::string text) {
@@ -110,40 +111,41 @@
   return text;
 }
 
-// One call out at a time is answered when there is news; a first call at once.
+// Answers the pending call if the list has changed, and the first call at once.
 void ExchangePlayer::serve_registry() {
   int fd = registry_fd_ < 0 || !registry_accepts_
                ? -1
                : ::accept4(registry_fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd >= 0) {
-    ++registry_joins_;
-    registry_ = std::make_unique<Conn>();
+    ++registry_connection_count_;
+    registry_ = std::make_unique<Connection>();
     registry_->fd = fd;
   }
   if (!registry_) return;
   registry_->read();
   if (registry_held_) return;
-  if (registry_->in.find("\r\n\r\n") == std::string::npos) return;
+  if (registry_->received.find("\r\n\r\n") == std::string::npos) return;
   if (fail_next_) {
     registry_->send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     fail_next_ = false;
-  } else if (std::exchange(whole_, false)) {  // a registry that has moved is asked for all it knows
-    REQUIRE(registry_->in.starts_with("GET /registry/instances HTTP"));
+  } else if (std::exchange(full_list_due_, false)) {  // after a change of address the full list is requested
+    REQUIRE(registry_->received.starts_with("GET /registry/instances HTTP"));
     json all = json::array();
-    for (auto& [name, entry] : entries_) all.push_back(entry);
-    changed_.clear();
-    answer({{"index", ++index_}, {"snapshot", true}, {"endpoints", all}});
-  } else if (!changed_.empty()) {
-    json body = {
-        {"index", ++index_}, {"snapshot", false}, {"endpoints", std::exchange(changed_, json::array())}};
-    answer(body);
+    for (auto& [name, entry] : worker_entries_) all.push_back(entry);
+    pending_changes_.clear();
+    send_list({{"index", ++list_version_}, {"snapshot", true}, {"endpoints", all}});
+  } else if (!pending_changes_.empty()) {
+    json body = {{"index", ++list_version_},
+                 {"snapshot", false},
+                 {"endpoints", std::exchange(pending_changes_, json::array())}};
+    send_list(body);
   } else {
     return;
   }
-  registry_->in.clear();
+  registry_->received.clear();
 }
 
-void ExchangePlayer::answer(const json& body) {
+void ExchangePlayer::send_list(const json& body) {
   std::string text = body.dump();
   registry_->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
 }
