--- a/src/fleet/record/log.cpp
+++ b/src/fleet/record/log.cpp
@@ -7,11 +7,11 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr std::uint64_t kTail = 128;  // entries kept in memory behind a snapshot, for those a little behind
+constexpr std::uint64_t kTail = 128;  // entries before a snapshot that stay in memory for slow followers
 
-bool entry_of(const Disk::Entry& entry, Log::Entry& into) {
+bool decode_entry(const Disk::Entry& entry, Log::Entry& into) {
   into.term = entry.term;
-  into.octets = entry.command;
+  into.encoded = entry.command;
   if (entry.command.empty()) return true;
   return decode(entry.command, into.command.emplace());
 }
@@ -24,9 +24,10 @@
   snapshot_ = contents.snapshot;
   for (const Disk::Entry& entry : contents.entries) {
     if (entry.index <= base_) continue;
-    if (entry.index != last() + 1 || !entry_of(entry, entries_.emplace_back()))
+    if (entry.index != last() + 1 || !decode_entry(entry, entries_.emplace_back()))
       throw StorageError("record: entry " + std::to_string(entry.index) +
-                         " on disk is no command, or not the one after " + std::to_string(last()));
+                         " on disk is not a valid command or does not follow entry " +
+                         std::to_string(last()));
   }
 }
 
@@ -42,14 +43,15 @@
                                     term_at(entries[first].index) == std::optional(entries[first].term)))
     ++first;
   if (first == entries.size()) return true;
-  std::deque<Entry> fresh;
-  std::vector<Disk::Entry> write(entries.begin() + static_cast<std::ptrdiff_t>(first), entries.end());
-  for (std::size_t i = 0; i < write.size(); ++i)
-    if (write[i].index != write[0].index + i || !entry_of(write[i], fresh.emplace_back())) return false;
-  if (write[0].index > last() + 1) return false;
-  if (disk_ != nullptr && !disk_->append(write)) return false;
-  entries_.resize(write[0].index - base_ - 1);
-  for (Entry& entry : fresh) entries_.push_back(std::move(entry));
+  std::deque<Entry> added;
+  std::vector<Disk::Entry> missing(entries.begin() + static_cast<std::ptrdiff_t>(first), entries.end());
+  for (std::size_t i = 0; i < missing.size(); ++i)
+    if (missing[i].index != missing[0].index + i || !decode_entry(missing[i], added.emplace_back()))
+      return false;
+  if (missing[0].index > last() + 1) return false;
+  if (disk_ != nullptr && !disk_->append(missing)) return false;
+  entries_.resize(missing[0].index - base_ - 1);
+  for (Entry& entry : added) entries_.push_back(std::move(entry));
   return true;
 }
 
@@ -82,7 +84,7 @@
   snapshot_index_ = index;
   snapshot_term_ = term;
   snapshot_ = std::move(ledger);
-  if (term_at(index) == std::optional(term)) return true;  // what follows it stays
+  if (term_at(index) == std::optional(term)) return true;  // the entries after it stay
   entries_.clear();
   base_ = index;
   base_term_ = term;
--- a/src/fleet/record/log.h
+++ b/src/fleet/record/log.h
@@ -1,5 +1,4 @@
-// A member's copy of the log: in memory from `base` on, and written through to the disk before anything is
-// answered that rests on it.
+/// A member's copy of the replicated log.
 #pragma once
 
 #include <deque>
@@ -8,33 +7,40 @@
 
 namespace marblehub::fleet {
 
+/// The entries after `base` in memory and the last snapshot. Changes are written to the disk, if there is
+/// one, before they are visible here. Does not own the disk.
 class Log {
  public:
+  /// A log entry with its command in encoded and decoded form.
   struct Entry {
     std::uint64_t term = 0;
-    std::string octets;              // empty: a no-op
-    std::optional<Command> command;  // decoded once
+    std::string encoded;             ///< empty for a no-op
+    std::optional<Command> command;  ///< none for a no-op
   };
   explicit Log(Disk* disk) : disk_(disk) {}
-  void load(const Disk::Contents& contents);  // throws StorageError where an entry is no command
+  /// Throws StorageError if an entry is not a valid command or the entries have a gap.
+  void load(const Disk::Contents& contents);
 
-  std::uint64_t base() const { return base_; }  // the entry before the first in memory
+  std::uint64_t base() const { return base_; }  ///< index before the first entry in memory
   std::uint64_t last() const { return base_ + entries_.size(); }
   std::uint64_t last_term() const { return *term_at(last()); }
-  std::optional<std::uint64_t> term_at(std::uint64_t index) const;  // none: not here, or below `base`
+  /// None if the index is below `base` or after the last entry.
+  std::optional<std::uint64_t> term_at(std::uint64_t index) const;
   const Entry& at(std::uint64_t index) const { return entries_[index - base_ - 1]; }
-  // Of `entries`, what is not here yet replaces all that stands from there on. False: the disk took nothing
-  // and nothing changed, or an entry is no command.
+  /// Appends the entries that the log does not have, replacing all conflicting ones. Returns false, without a
+  /// change, if the disk fails or an entry is not a valid command.
   bool append(const std::vector<Disk::Entry>& entries);
 
-  // Voters by the newest ChangeVoters in the log; none: as the ledger has it.
+  /// Index and voters of the newest ChangeVoters in memory; none if the ledger's voters apply.
   std::optional<std::pair<std::uint64_t, std::vector<std::string>>> voters() const;
 
   std::uint64_t snapshot_index() const { return snapshot_index_; }
   std::uint64_t snapshot_term() const { return snapshot_term_; }
   const std::string& snapshot() const { return snapshot_; }
-  bool compact(std::uint64_t index, std::string ledger);                      // keeps a tail for those behind
-  bool install(std::uint64_t index, std::uint64_t term, std::string ledger);  // the log begins anew there
+  /// Replaces the entries up to `index` by a snapshot. The newest of them stay in memory for slow followers.
+  bool compact(std::uint64_t index, std::string ledger);
+  /// Takes over a received snapshot. Entries after it stay only if the log contains its last entry.
+  bool install(std::uint64_t index, std::uint64_t term, std::string ledger);
 
  private:
   Disk* disk_;
--- a/src/fleet/record/record.cpp
+++ b/src/fleet/record/record.cpp
@@ -8,8 +8,8 @@
 namespace marblehub::fleet {
 namespace {
 
-// What all start from before anything is agreed.
-Ledger first_ledger(const Settings& settings) {
+// The ledger of an empty log.
+Ledger initial_ledger(const Settings& settings) {
   Ledger ledger;
   ledger.voters = settings.voters;
   std::ranges::sort(ledger.voters);
@@ -24,23 +24,23 @@
       incarnation(incarnation),
       disk(disk),
       election_timeout(std::max(settings.lease / 2, settings.clock_bound * 3)),
-      pulse(std::max<Time>(settings.lease / 12, kMillisecond)),
+      heartbeat_interval(std::max<Time>(settings.lease / 12, kMillisecond)),
       random(seed),
       log(disk),
-      ledger(first_ledger(settings)),
-      heard(now) {
+      ledger(initial_ledger(settings)),
+      last_leader_contact(now) {
   if (disk != nullptr) {
     const Disk::Contents contents = disk->load();
     voting = contents.voting;
     log.load(contents);
     if (contents.snapshot_index != 0 &&
         (!decode(contents.snapshot, ledger) || ledger.applied != contents.snapshot_index))
-      throw StorageError("record: the snapshot on disk is not of its index " +
+      throw StorageError("record: the snapshot on disk does not match its index " +
                          std::to_string(contents.snapshot_index));
-    if (contents.empty) set_outside(!first_fleet, 0);
-    if (contents.empty && first_fleet) vouched = true;
+    if (contents.empty) set_excluded(!first_fleet, 0);
+    if (contents.empty && first_fleet) state_confirmed = true;
   }
-  follow(now);
+  become_follower(now);
 }
 
 std::vector<std::string> Record::State::voters() const {
@@ -48,7 +48,7 @@
   return ledger.voters;
 }
 
-bool Record::State::votes(const std::string& name) const {
+bool Record::State::has_vote(const std::string& name) const {
   const auto names = voters();
   return std::ranges::find(names, name) != names.end();
 }
@@ -64,8 +64,8 @@
     : state_(new State(settings, incarnation, disk, first_fleet, seed, now)) {}
 
 void Record::update_members(Time, const std::vector<std::string>& alive, Outbox&) {
-  state_->alive = alive;
-  std::erase(state_->alive, state_->settings.name);
+  state_->alive_members = alive;
+  std::erase(state_->alive_members, state_->settings.name);
 }
 
 void Record::received(Time now, const std::string& from, std::string_view body, Outbox& out) {
@@ -74,72 +74,73 @@
   if (!decode_with_checksum(body, message) || from == state.settings.name) return;
   switch (message.kind) {
     case kVoteRequest:
-      return state.on_ask(now, from, message, out);
+      return state.on_vote_request(now, from, message, out);
     case kVoteReply:
-      return state.on_answer(now, from, message, out);
+      return state.on_vote_reply(now, from, message, out);
     case kAppendRequest:
-      return state.on_append(now, from, message, out);
+      return state.on_append_request(now, from, message, out);
     case kAppendReply:
-      return state.on_appended(now, from, message, out);
+      return state.on_append_reply(now, from, message, out);
     case kSnapshotChunk:
-      return state.on_chunk(now, from, message, out);
+      return state.on_snapshot_chunk(now, from, message, out);
     case kSnapshotReply:
-      return state.on_chunked(now, from, message, out);
+      return state.on_snapshot_reply(now, from, message, out);
     case kForward:
       return state.on_forward(now, message, out);
     case kLearnRequest:
-      return state.on_learn(now, from, message, out);
+      return state.on_learn_request(now, from, message, out);
     case kLearnUpdate:
-      return state.on_learnt(now, from, message, out);
+      return state.on_learn_update(now, from, message, out);
     case kLearnRedirect:
-      return state.on_elsewhere(now, from, message, out);
+      return state.on_learn_redirect(now, from, message, out);
     case kRejoinRequest:
-      return state.on_hello(now, from, message, out);
+      return state.on_rejoin_request(now, from, message, out);
     case kRejoinReply:
-      return state.on_hello_back(from, message);
+      return state.on_rejoin_reply(from, message);
     default:
-      return;  // of a newer schema
+      return;  // a type of a newer version
   }
 }
 
 void Record::tick(Time now, Outbox& out) {
   State& state = *state_;
   if (state.voters().empty()) return;
-  if (state.disk_failed && state.due_beat <= now) {
-    state.due_beat = now + state.pulse;
+  if (state.disk_failed && state.due_heartbeat <= now) {
+    state.due_heartbeat = now + state.heartbeat_interval;
     state.disk_failed = !state.disk->store_voting_state(state.voting);
   }
-  const bool voter = state.disk != nullptr && state.votes(state.settings.name);
+  const bool voter = state.disk != nullptr && state.has_vote(state.settings.name);
   if (state.role == Role::leader) {
-    if (state.due_beat <= now) state.broadcast_heartbeat(now, out);
+    if (state.due_heartbeat <= now) state.broadcast_heartbeat(now, out);
   } else if (voter) {
-    if (state.role == Role::observer) state.follow(now);
-    if (state.due_campaign <= now) {
+    if (state.role == Role::observer) state.become_follower(now);
+    if (state.due_election <= now) {
       if (state.can_vote())
         state.campaign(now, true, out);
       else
-        state.wait_anew(now);
+        state.reset_election_timer(now);
     }
-    // No leader speaks to it: it may have been taken out of the voters without hearing of it.
-    if (now - state.heard > 4 * state.election_timeout && state.due_learn <= now) state.learn(now, out);
+    // Without contact to a leader it may have been removed from the voters without knowing it.
+    if (now - state.last_leader_contact > 4 * state.election_timeout && state.due_learn <= now)
+      state.request_updates(now, out);
   } else {
-    if (state.role != Role::observer) state.follow(now);
-    if (state.due_learn <= now) state.learn(now, out);
+    if (state.role != Role::observer) state.become_follower(now);
+    if (state.due_learn <= now) state.request_updates(now, out);
   }
-  if (state.disk != nullptr && (!state.vouched || state.voting.excluded) && state.due_hello <= now)
-    state.say_hello(now, out);
-  if (!state.pending.empty() && state.due_forward <= now) state.forward(now, out);
+  if (state.disk != nullptr && (!state.state_confirmed || state.voting.excluded) && state.due_rejoin <= now)
+    state.send_rejoin_request(now, out);
+  if (!state.pending_commands.empty() && state.due_forward <= now) state.forward(now, out);
 }
 
 Time Record::next_due() const {
   const State& state = *state_;
-  Time due = state.heard + kSecond * 3600;
-  const bool voter = state.disk != nullptr && state.votes(state.settings.name);
-  if (state.role == Role::leader || state.disk_failed) due = state.due_beat;
-  if (state.role != Role::leader) due = std::min(due, voter ? state.due_campaign : state.due_learn);
-  if (state.disk != nullptr && (!state.vouched || state.voting.excluded))
-    due = std::min(due, state.due_hello);
-  if (!state.pending.empty()) due = std::min(due, state.due_forward);
+  Time due = state.last_leader_contact + kSecond * 3600;
+  const bool voter = state.disk != nullptr && state.has_vote(state.settings.name);
+  if (state.role == Role::leader || state.disk_failed) due = state.due_heartbeat;
+  if (state.role != Role::leader) due = std::min(due, voter ? state.due_election : state.due_learn);
+  if (state.disk != nullptr && (!state.state_confirmed || state.voting.excluded))
+    due = std::min(due, state.due_rejoin);
+  if (!state.pending_commands.empty()) due = std::min(due, state.due_forward);
   return due;
 }
 
@@ -151,15 +152,16 @@
 std::optional<Grant> Record::grant() const { return state_->grant; }
 Role Record::role() const { return state_->role; }
 std::uint64_t Record::term() const {
-  return state_->role == Role::observer ? std::max(state_->voting.term, state_->beat_term)
+  return state_->role == Role::observer ? std::max(state_->voting.term, state_->heartbeat_term)
                                         : state_->voting.term;
 }
 std::string Record::leader() const { return state_->leader; }
 bool Record::has_majority(Time now) const {
   const State& state = *state_;
   if (state.voters().empty()) return false;
-  if (state.role == Role::leader) return now - state.contact_of_majority(now) < 2 * state.election_timeout;
-  return !state.leader.empty() && state.beat_term != 0 && now - state.beat_heard < 2 * state.election_timeout;
+  if (state.role == Role::leader) return now - state.majority_contact_time(now) < 2 * state.election_timeout;
+  return !state.leader.empty() && state.heartbeat_term != 0 &&
+         now - state.heartbeat_received_at < 2 * state.election_timeout;
 }
 bool Record::may_vote() const { return state_->can_vote(); }
 
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -1,5 +1,5 @@
-// One replicated log with snapshots among three or five voters, and everybody else as a follower of it.
-// Raft (Ongaro and Ousterhout 2014) with pre-vote, and a leader's lease by its heartbeats.
+/// A replicated log with snapshots among three or five voters; all other members follow it without voting.
+/// Raft (Ongaro and Ousterhout 2014) with pre-vote, and leader leases based on heartbeats.
 #pragma once
 
 #include <functional>
@@ -13,72 +13,81 @@
 
 namespace marblehub::fleet {
 
-// What must last at a voter. Written in full before the call returns; false: the disk is full or gone, and
-// the voter stops voting until it can write again. Implementations: LMDB in service, a map in tests.
+/// The persistent state of a voter. The store functions return after everything is durable; they return false
+/// if the disk is full or fails, and the voter then stops voting until it can write again.
 class Disk {
  public:
+  /// The term and the vote of Raft, and whether this voter may vote.
   struct VotingState {
     std::uint64_t term = 0;
     std::string voted_for;
-    // This name's earlier votes and acknowledgements are not on this disk: it does not vote until a
-    // ChangeVoters beyond `floor`, applied, has taken it in where it was not one of the voters.
+    /// Earlier votes and acknowledgements under this name are not on this disk: the member does not vote
+    /// until it has applied a ChangeVoters with an index above `readmit_after` that adds it to the voters.
     bool excluded = false;
     std::uint64_t readmit_after = 0;
   };
+  /// A log entry. `command` is an encoded Command, or empty for a no-op.
   struct Entry {
     std::uint64_t index = 0, term = 0;
     std::string command;
-  };  // encode(Command); empty: a no-op
+  };
   virtual ~Disk() = default;
   virtual bool store_voting_state(const VotingState& state) = 0;
-  virtual bool append(
-      const std::vector<Entry>& entries) = 0;  // what stands from the first index on is replaced
+  /// Replaces all stored entries from the first given index on.
+  virtual bool append(const std::vector<Entry>& entries) = 0;
+  /// Stores a snapshot and deletes the log up to its index, or all of the log if it conflicts with the
+  /// snapshot.
   virtual bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) = 0;
+  /// Everything that is stored.
   struct Contents {
     bool empty =
-        true;  // nothing was ever kept here: a voter of this name must be taken in anew before it votes
+        true;  ///< nothing was ever stored: a voter has to be added to the voters again before it votes
     VotingState voting;
     std::uint64_t snapshot_index = 0, snapshot_term = 0;
     std::string snapshot;
     std::vector<Entry> entries;
   };
-  // Throws StorageError with file and offset where a record is torn or flipped: never guessed.
+  /// Throws StorageError with file and offset if a stored record is corrupted.
   virtual Contents load() = 0;
 };
 
-// A lease on the version in force, as the leader grants it: place by `version` until `until`, and by `next`
-// from `moment` on where that is set. By the leader's clock; a holder keeps clock_bound away from both ends.
+/// A lease that the leader grants: `version` is in force until `until`, and `next`, if set, from
+/// `activation_time` on. Times are of the leader's clock; a holder keeps a margin of clock_bound at both
+/// ends.
 struct Grant {
   std::uint64_t version = 0, next = 0;
   Time until = 0, activation_time = 0;
 };
 
-enum class Role { follower, candidate, leader, observer };  // an observer does not vote
+/// The role of a member. An observer does not vote (a learner in Raft's terms).
+enum class Role { follower, candidate, leader, observer };
 
+/// One member's part in the replicated log.
 class Record {
  public:
-  // `disk` may be null for an observer. `first_fleet`: this voter belongs to the fleet's first set of voters
-  // and a fresh disk is no loss.
+  /// `disk` must outlive the record and may be null for an observer. `first_fleet`: this voter is one of the
+  /// first voters of the fleet, so an empty disk has lost nothing. Throws StorageError if the disk is
+  /// corrupted.
   Record(const Settings& settings, std::uint64_t incarnation, Disk* disk, bool first_fleet,
          std::uint64_t seed, Time now);
 
-  // The view, whenever it changes: members that are there. Others' addresses are the owner's affair.
+  /// Sets the live members; to be called whenever the view changes.
   void update_members(Time now, const std::vector<std::string>& alive, Outbox& out);
   void received(Time now, const std::string& from, std::string_view body, Outbox& out);
   void tick(Time now, Outbox& out);
   Time next_due() const;
 
-  // Hands in a command of this balancer; it is sent to the leader until it is applied. Applied ones are seen
-  // in the ledger. The number is that of its CommandId.
+  /// Submits a command of this balancer. It is sent to the leader until it is applied; its effect is seen in
+  /// the ledger. Returns the number of its CommandId.
   std::uint64_t propose(Time now, Body body, Outbox& out);
 
-  const Ledger& ledger() const;        // as far as this member has heard it is agreed
-  std::optional<Grant> grant() const;  // the newest heard; its holder judges whether it still holds
+  const Ledger& ledger() const;        ///< up to the last entry that this member knows to be committed
+  std::optional<Grant> grant() const;  ///< the newest received; the holder checks whether it is still valid
   Role role() const;
   std::uint64_t term() const;
-  std::string leader() const;         // empty: unknown
-  bool has_majority(Time now) const;  // a leader was heard within two election time-outs
-  bool may_vote() const;  // false after a lost disk or one found old, until taken in anew; while it is full
+  std::string leader() const;         ///< empty if unknown
+  bool has_majority(Time now) const;  ///< whether a leader was active within the last two election timeouts
+  bool may_vote() const;  ///< false while the disk fails, and after a lost or outdated disk until readmission
 
  private:
   struct State;
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -1,4 +1,4 @@
-// The inside of a Record: one struct, its rules in election.cpp, replication.cpp, learning.cpp, commands.cpp.
+/// The implementation of Record, in election.cpp, replication.cpp, learning.cpp, commands.cpp and record.cpp.
 #pragma once
 
 #include <random>
@@ -10,101 +10,112 @@
 
 namespace marblehub::fleet {
 
+/// The type of a message between members and the fields that it uses. The numbers are part of the wire
+/// format.
 enum RecordMessageType : std::uint8_t {
-  kVoteRequest = 1,  // for a vote, flag: pre-vote; index and index_term of the last entry
-  kVoteReply,        // flag: yes, offset 1: to a pre-vote
-  kAppendRequest,    // leader to voter: entries behind index/index_term, commit, lease; empty: a heartbeat
-  kAppendReply,      // flag: taken up to index; else the leader goes back to index. beat: of what it answers
-  kSnapshotChunk,    // of a snapshot, to voters and learners: bytes at offset of total
-  kSnapshotReply,    // the next offset wanted of the snapshot at index
-  kForward,          // commands on their way to the leader, at most 8 hops
-  kLearnRequest,  // "give me what follows index, or is newer than term and beat": at first, where something
-                  // is missing, and each 2 s of 50 ms beats; a learner not heard for 2.5 s is forgotten
-  kLearnUpdate,   // committed entries, commit, lease; pushed whenever there is news, and a grant each 5 beats
-  kLearnRedirect,  // full, or nothing new here: names of those to try
-  kRejoinRequest,  // a voter after its start, or outside: index and index_term it has, flag: outside
-  kRejoinReply,    // what its asker is known to have had: term, index, index_term; flag: ask the leader, not
-                   // me; total: from the leader, what it has applied
+  kVoteRequest = 1,  ///< flag: pre-vote; index and index_term of the candidate's last entry
+  kVoteReply,        ///< flag: granted; offset 1: to a pre-vote
+  kAppendRequest,    ///< leader to voter: entries after index/index_term, commit, lease; no entries: a
+                     ///< heartbeat
+  kAppendReply,      ///< flag: the log matches up to index; else the leader retries from index.
+                     ///< heartbeat: that of the request
+  kSnapshotChunk,    ///< to voters and learners: bytes at offset of a snapshot of total bytes
+  kSnapshotReply,    ///< the next offset expected of the snapshot at index; flag: complete
+  kForward,          ///< commands on their way to the leader, over at most 8 hops
+  kLearnRequest,     ///< asks for entries after index, or heartbeats newer than term and heartbeat: at first,
+                  ///< where something is missing, and every 40 heartbeat intervals. A learner that sends none
+                  ///< for 50 intervals is removed.
+  kLearnUpdate,    ///< committed entries, commit, lease; sent when there is news, and a grant at every fifth
+                   ///< heartbeat
+  kLearnRedirect,  ///< the member serves no more learners or is out of date; names: members to try instead
+  kRejoinRequest,  ///< a voter after its start, or an excluded one: its index and index_term; flag: excluded
+  kRejoinReply,    ///< what the requester is known to have had: term, index, index_term; flag: the leader
+                   ///< knows more: wait for its reply; total: the applied index, if the sender leads
 };
 
 using Message = fb::MessageT;
 
-struct LogPosition {  // a point of the log; a voter's last one never goes back
+/// A position in the log. The last position of a voter never goes back.
+struct LogPosition {
   std::uint64_t term = 0, index = 0;
   auto operator<=>(const LogPosition&) const = default;
 };
 
+/// All state of a member.
 struct Record::State {
   State(const Settings& settings, std::uint64_t incarnation, Disk* disk, bool first_fleet, std::uint64_t seed,
         Time now);
 
-  // ---- election.cpp
-  void wait_anew(Time now);
+  // election.cpp
+  void reset_election_timer(Time now);
   bool can_vote() const;
-  bool adopt(std::uint64_t term, const std::string& voted_for);  // false: the disk takes nothing
+  bool store_term(std::uint64_t term, const std::string& voted_for);  // false: the disk failed
   void campaign(Time now, bool pre, Outbox& out);
-  void on_ask(Time now, const std::string& from, const Message& message, Outbox& out);
-  void on_answer(Time now, const std::string& from, const Message& message, Outbox& out);
-  void lead(Time now, Outbox& out);
-  void follow(Time now);
-  void say_hello(Time now, Outbox& out);
-  void on_hello(Time now, const std::string& from, const Message& message, Outbox& out);
-  void on_hello_back(const std::string& from, const Message& message);
-  void set_outside(bool excluded, std::uint64_t readmit_after);
-
-  // ---- replication.cpp
+  void on_vote_request(Time now, const std::string& from, const Message& message, Outbox& out);
+  void on_vote_reply(Time now, const std::string& from, const Message& message, Outbox& out);
+  void become_leader(Time now, Outbox& out);
+  void become_follower(Time now);  // or observer, without a vote
+  void send_rejoin_request(Time now, Outbox& out);
+  void on_rejoin_request(Time now, const std::string& from, const Message& message, Outbox& out);
+  void on_rejoin_reply(const std::string& from, const Message& message);
+  void set_excluded(bool excluded, std::uint64_t readmit_after);
+
+  // replication.cpp
+  /// What the leader knows of a voter.
   struct Peer {
-    std::uint64_t next = 1, match = 0;
-    Time contact = 0;  // when that was sent which it answered last
-    std::uint64_t chunk = 0;
+    std::uint64_t next = 1,
+                  match = 0;  // as in Raft: next index to send, highest index known to be replicated
+    Time contact = 0;         // when the last request that it answered was sent
+    std::uint64_t snapshot_offset = 0;
   };
   void broadcast_heartbeat(Time now, Outbox& out);
   void send_append(Time now, const std::string& to, Outbox& out);
-  void on_append(Time now, const std::string& from, Message& message, Outbox& out);
-  void on_appended(Time now, const std::string& from, const Message& message, Outbox& out);
-  void advance(Time now, Outbox& out);
-  void commit_to(Time now, std::uint64_t index, Outbox& out);
-  Time contact_of_majority(Time now) const;
+  void on_append_request(Time now, const std::string& from, Message& message, Outbox& out);
+  void on_append_reply(Time now, const std::string& from, const Message& message, Outbox& out);
+  void advance_commit_index(Time now, Outbox& out);
+  void apply_up_to(Time now, std::uint64_t index, Outbox& out);
+  Time majority_contact_time(Time now) const;
   void renew_grant(Time now);
   void send_chunk(const std::string& to, std::uint64_t offset, Outbox& out);
-  void on_chunk(Time now, const std::string& from, Message& message, Outbox& out);
-  void on_chunked(Time now, const std::string& from, const Message& message, Outbox& out);
+  void on_snapshot_chunk(Time now, const std::string& from, Message& message, Outbox& out);
+  void on_snapshot_reply(Time now, const std::string& from, const Message& message, Outbox& out);
   std::vector<std::unique_ptr<fb::EntryT>> entries_from(std::uint64_t from, std::uint64_t to) const;
 
-  // ---- learning.cpp
+  // learning.cpp
+  /// A member that receives committed entries and grants from this one.
   struct Learner {
-    std::uint64_t have = 0, told_term = 0;
-    Time heard = 0, told = 0;
+    std::uint64_t sent_index = 0, sent_term = 0;
+    Time last_request = 0, last_push = 0;
   };
-  void learn(Time now, Outbox& out);
-  void ask_upstream(Time now, Outbox& out);
-  void ask_first(Time now, const std::string& whom, Outbox& out);
-  void push(Time now, const std::string& to, Learner& learner, bool answer, Outbox& out);
-  void push_all(Time now, bool paced, Outbox& out);
-  void on_learn(Time now, const std::string& from, const Message& message, Outbox& out);
-  void on_learnt(Time now, const std::string& from, Message& message, Outbox& out);
-  void on_elsewhere(Time now, const std::string& from, const Message& message, Outbox& out);
-  bool hear(Time now, const Message& message);  // lease and leader; true: a newer beat than before
-  void put_lease(Message& message) const;
-
-  // ---- commands.cpp
+  void request_updates(Time now, Outbox& out);
+  void send_learn_request(Time now, Outbox& out);
+  void switch_upstream(Time now, const std::string& name, Outbox& out);
+  void push_update(Time now, const std::string& to, Learner& learner, bool reply, Outbox& out);
+  void push_to_learners(Time now, bool heartbeat_only, Outbox& out);
+  void on_learn_request(Time now, const std::string& from, const Message& message, Outbox& out);
+  void on_learn_update(Time now, const std::string& from, Message& message, Outbox& out);
+  void on_learn_redirect(Time now, const std::string& from, const Message& message, Outbox& out);
+  bool process_heartbeat(Time now, const Message& message);  // takes lease and leader; true if it is new
+  void attach_lease(Message& message) const;
+
+  // commands.cpp
   std::uint64_t propose(Time now, Body body, Outbox& out);
   void forward(Time now, Outbox& out);
   void on_forward(Time now, Message& message, Outbox& out);
-  void take(Time now, std::vector<std::string>& commands, Outbox& out);
-  bool append_own(std::optional<Command> command);
-  void drop_applied();  // own commands that need not be sent again
+  void append_commands(Time now, std::vector<std::string>& commands, Outbox& out);
+  bool append_entry(std::optional<Command> command);
+  void drop_applied();  // removes own commands that have been applied from pending_commands
   void after_applying(const Command& command, bool was_voter);
-  void keep_house(Time now, Outbox& out);  // the leader: ends switches, takes outsiders in anew
+  void complete_activation(Time now, Outbox& out);  // by the leader, once the activation time has passed
 
-  std::vector<std::string> voters() const;
-  bool votes(const std::string& name) const;
+  std::vector<std::string> voters() const;  // by the newest entry in the log, committed or not
+  bool has_vote(const std::string& name) const;
   void send(const std::string& to, Message& message, Outbox& out, Transport by = Transport::stream) const;
 
   const Settings settings;
   const std::uint64_t incarnation;
   Disk* const disk;
-  const Time election_timeout, pulse;  // election time-out at least; between heartbeats
+  const Time election_timeout, heartbeat_interval;  // the minimum election timeout
   std::mt19937_64 random;
   Log log;
   Ledger ledger;
@@ -113,39 +124,43 @@
 
   Role role = Role::follower;
   std::string leader;
-  Time heard = 0, due_campaign = 0, due_beat = 0, due_learn = 0, due_hello = 0, due_forward = 0;
-  std::set<std::string> yes;
-  bool asking_pre = false;
+  Time last_leader_contact = 0, due_election = 0, due_heartbeat = 0, due_learn = 0, due_rejoin = 0,
+       due_forward = 0;
+  std::set<std::string> granted_by;  // votes or pre-votes of the running election
+  bool pre_vote = false;
   std::map<std::string, Peer> peers;
-  std::uint64_t term_start = 0;             // the leader's no-op
-  std::map<std::string, CommandId> logged;  // leader: the last of each sender in the log
-  std::set<std::string> removed_here;
-
-  bool vouched =
-      false;  // nothing newer under this name is known to a majority, or all is here that a leader had
-  std::set<std::string> vouchers;
-  std::optional<std::uint64_t> catch_up;     // what the leader had applied when it first answered
-  std::map<std::string, LogPosition> known;  // what each voter said it had
-  std::map<std::string, std::uint64_t> known_term;
+  std::uint64_t term_start = 0;                  // leader: the index of its first entry, a no-op
+  std::map<std::string, CommandId> last_logged;  // leader: the last command of each sender in the log
+  std::set<std::string> removed_voters;  // excluded voters that this leader removed, to be added again
+
+  // Whether this voter's disk is known to be current: a majority knows of no newer state under its name, or
+  // it has everything that a leader had.
+  bool state_confirmed = false;
+  std::set<std::string> confirmed_by;
+  std::optional<std::uint64_t> catch_up_index;         // the leader's applied index at its first reply
+  std::map<std::string, LogPosition> known_positions;  // the highest position that each voter reported
+  std::map<std::string, std::uint64_t> known_terms;
 
   std::optional<Grant> grant;
-  std::uint64_t grant_term = 0, beat_term = 0;
-  Time grant_beat = 0, beat_sent = 0, beat_heard = 0;
+  std::uint64_t grant_term = 0, heartbeat_term = 0;
+  Time grant_heartbeat = 0, heartbeat_sent_at = 0, heartbeat_received_at = 0;
 
-  std::string upstream;
-  Time asked = 0, answered = 0;  // upstream; it brought something newer, or was chosen not long before
+  std::string upstream;  // the member that this one learns from
+  Time last_request = 0,
+       last_update = 0;  // to upstream; of something newer, or set back when it was selected
   std::tuple<std::uint64_t, std::uint64_t, Time>
-      turn_told;  // version, next and moment that all learners know
+      pushed_activation;  // version, next and activation time last sent to the learners
   std::map<std::string, Learner> learners;
-  std::vector<std::string> alive;
+  std::vector<std::string> alive_members;
 
-  struct Assembly {
+  /// The received part of a snapshot.
+  struct PartialSnapshot {
     std::uint64_t index = 0, term = 0;
-    std::string octets;
-  } assembly;
+    std::string bytes;
+  } partial_snapshot;
 
-  std::deque<Command> pending;
-  std::uint64_t number = 0;
+  std::deque<Command> pending_commands;  // own commands that are not known to be applied
+  std::uint64_t number = 0;              // of the last own command
 };
 
 }  // namespace marblehub::fleet
