--- a/src/fleet/record/checked_flatbuffer.h
+++ b/src/fleet/record/checked_flatbuffer.h
@@ -1,4 +1,4 @@
-// Flatbuffers in, flatbuffers out: a hash behind each, the verifier before each is read.
+/// Encoding and decoding of flatbuffers that are followed by a checksum.
 #pragma once
 
 #include <cstring>
@@ -10,12 +10,14 @@
 
 namespace marblehub::fleet {
 
-inline std::uint64_t fnv1a_hash(std::string_view octets) {  // FNV-1a, 64 bits
+/// 64 bits.
+inline std::uint64_t fnv1a_hash(std::string_view bytes) {
   std::uint64_t hash = 14695981039346656037ULL;
-  for (unsigned char octet : octets) hash = (hash ^ octet) * 1099511628211ULL;
+  for (unsigned char byte : bytes) hash = (hash ^ byte) * 1099511628211ULL;
   return hash;
 }
 
+/// Encodes an object of the generated object API and appends the hash of the result.
 template <class Native>
 std::string encode_with_checksum(const Native& native) {
   using Table = typename Native::TableType;
@@ -28,20 +30,20 @@
   return out;
 }
 
-// False: cut, flipped, or not of this schema.
+/// Returns false if the input is truncated, corrupted or does not match the schema.
 template <class Native>
-bool decode_with_checksum(std::string_view octets, Native& into) {
+bool decode_with_checksum(std::string_view bytes, Native& into) {
   using Table = typename Native::TableType;
   std::uint64_t hash = 0;
-  if (octets.size() < sizeof hash + 8) return false;
-  std::memcpy(&hash, octets.data() + octets.size() - sizeof hash, sizeof hash);
-  octets.remove_suffix(sizeof hash);
-  if (hash != fnv1a_hash(octets)) return false;
-  // A body may stand anywhere in its envelope; tables are read in place and want their alignment.
-  std::vector<std::uint64_t> aligned((octets.size() + 7) / 8);
-  std::memcpy(aligned.data(), octets.data(), octets.size());
+  if (bytes.size() < sizeof hash + 8) return false;
+  std::memcpy(&hash, bytes.data() + bytes.size() - sizeof hash, sizeof hash);
+  bytes.remove_suffix(sizeof hash);
+  if (hash != fnv1a_hash(bytes)) return false;
+  // The input may be unaligned, but flatbuffers are read in place and need alignment.
+  std::vector<std::uint64_t> aligned((bytes.size() + 7) / 8);
+  std::memcpy(aligned.data(), bytes.data(), bytes.size());
   const auto* begin = reinterpret_cast<const std::uint8_t*>(aligned.data());
-  flatbuffers::Verifier verifier(begin, octets.size());
+  flatbuffers::Verifier verifier(begin, bytes.size());
   if (!verifier.VerifyBuffer<Table>(nullptr)) return false;
   flatbuffers::GetRoot<Table>(begin)->UnPackTo(&into);
   return true;
--- a/src/fleet/record/command.h
+++ b/src/fleet/record/command.h
@@ -1,5 +1,6 @@
-// What can be agreed on. A command is applied exactly once, in the record's order, by pure functions: every
-// member that has applied the same prefix holds the same Ledger.
+/// The commands of the replicated log and the ledger, the state machine that they are applied to. Every
+/// member applies each command exactly once, in log order, by deterministic functions: members that have
+/// applied the same prefix of the log hold the same ledger.
 #pragma once
 
 #include <cstdint>
@@ -14,133 +15,155 @@
 
 namespace marblehub::fleet {
 
-// One sender's commands are applied in order and once each, however often they are sent: of one incarnation
-// number 1 is first and each next one higher by 1 (one that comes before its turn is refused and not counted,
-// so that its sender repeats it); an older incarnation's are refused.
+/// Identifies a command. The commands of one incarnation of a sender are numbered from 1 and applied in that
+/// order, each once, however often they are sent. A command that arrives ahead of its predecessor is rejected
+/// without being counted, so its sender sends it again; commands of an older incarnation are rejected.
 struct CommandId {
   std::string sender;
   std::uint64_t incarnation = 0, number = 0;
   auto operator<=>(const CommandId&) const = default;
 };
 
-// ---- Routes, in two phases. `members` must all say yes or be given up; one version has one text for ever,
-// so a version that was aborted may be proposed again, but not with another text.
+// Routes are activated in two phases.
+
+/// First phase: proposes a routes table, which each of `members` has to accept or have answered for it. A
+/// version keeps its text for ever: an aborted version may be proposed again, but only with the same text.
 struct ProposeRoutes {
   std::uint64_t version = 0;
   std::string text;
   std::vector<std::string> members;
   Time proposed_at = 0;
 };
+/// The answer of `member` to the staged version: accepted if `refusal` is empty, else the reason for
+/// refusing.
 struct AnswerRoutes {
   std::uint64_t version = 0;
   std::string member, refusal;
-  bool given_up = false;  // said in `member`'s place: it is gone from the view, its lease runs out by itself
-};                        // refusal empty: taken
-// The leader moves `moment` up to lease + 2 x clock_bound after it appends this, if it is earlier. Refused
-// while an earlier activation's moment is not over (RouteState::next is set): wait, then send another.
+  bool given_up = false;  ///< sent on behalf of `member`, which left the view; its lease runs out by itself
+};
+/// Second phase: activates the staged version. When the leader appends it, it raises `activation_time` to at
+/// least lease + 2 x clock_bound from then. Rejected until the previous activation is complete
+/// (RouteState::next is set until then); the proposer waits and sends another.
 struct ActivateRoutes {
   std::uint64_t version = 0;
   Time activation_time = 0;
 };
+/// Ends the activation of the staged version.
 struct AbortRoutes {
   std::uint64_t version = 0;
   std::string reason;
 };
 
-// ---- Wallets. Amounts are whole units; what is negative or over 2^53 is refused.
+// Amounts of wallets are whole units; negative ones and those above 2^53 are rejected.
+
+/// Adds a prepaid amount to a wallet. A deposit with the same id counts once.
 struct Deposit {
   std::string wallet, deposit;
   std::int64_t amount = 0;
-};  // the same deposit id counts once
-// Gets an eighth of the balance at most, less where more than four balancers hold slices, but `least` at
-// least: it shrinks with the balance, so the last units are spread over who asks, down to one call each. In
-// whole `least`s.
+};
+/// Reserves a part of a wallet's balance, a slice, for `holder` until `until`. The slice is a multiple of
+/// `min_amount` and at least that; otherwise at most an eighth of the balance, or less if more than four
+/// balancers hold slices. Slices shrink with the balance, so that the last units are spread over all
+/// requesters.
 struct TakeSlice {
   std::string wallet, slice, holder;
   std::uint64_t incarnation = 0;
   std::int64_t requested = 0;
   Time until = 0;
-  std::int64_t min_amount = 0;  // what one call costs: so much at once or nothing; 0: whatever there is
+  std::int64_t min_amount = 0;  ///< the price of one call; the command is rejected if the balance is lower
 };
+/// Closes a slice; what it did not spend goes back to the balance.
 struct ReturnSlice {
   std::string wallet, slice;
   std::int64_t spent = 0;
-};  // what is unspent is balance again
+};
+/// Closes a slice whose term is over and whose holder is gone. All of it counts as spent and is held back
+/// until a ReportSpent arrives.
 struct LapseSlice {
   std::string wallet, slice;
-};  // its holder is gone and its term over: all of it counts as spent
+};
+/// Reports from a journal how much was spent of a slice that lapsed, or that an earlier incarnation of the
+/// sender holds.
 struct ReportSpent {
   std::string wallet, slice;
   std::int64_t spent = 0;
-};  // a journal says what a lapsed one spent
+};
 
-// ---- The record itself: who votes. One name more or less at a time (section 4.1 of Ongaro's dissertation).
+/// Replaces the set of voters. One name is added or removed at a time (section 4.1 of Ongaro's dissertation).
 struct ChangeVoters {
   std::vector<std::string> voters;
 };
 
-// The leader's word that `next` is in force: appended by the leader itself, once its clock is past the moment
-// by clock_bound. A ProposeRoutes whose `at` is not before the moment says the same.
+/// Completes an activation: `next` is in force. The leader appends it once its clock has passed the
+/// activation time by clock_bound. A ProposeRoutes whose `proposed_at` is not before the activation time has
+/// the same effect.
 struct CompleteRoutes {
   std::uint64_t version = 0;
 };
 
-using Body =
-    std::variant<ProposeRoutes, AnswerRoutes, ActivateRoutes, AbortRoutes, Deposit, TakeSlice, ReturnSlice,
-                 LapseSlice, ReportSpent, ChangeVoters, CompleteRoutes>;  // add at the end
+/// The index of an alternative is stored: new ones are added at the end.
+using Body = std::variant<ProposeRoutes, AnswerRoutes, ActivateRoutes, AbortRoutes, Deposit, TakeSlice,
+                          ReturnSlice, LapseSlice, ReportSpent, ChangeVoters, CompleteRoutes>;
 
+/// A command with its id, as a log entry holds it.
 struct Command {
   CommandId id;
   Body body;
 };
 
-// What all have agreed on.
+/// The versions of the routes table. A version is 0 if there is none.
 struct RouteState {
-  std::uint64_t in_force = 0, staged = 0;  // 0: none
-  std::string text, staged_text;           // the whole tables
-  Time activation_time = 0;                // of in_force, or of `next` while that is ahead
-  std::uint64_t next = 0;                  // activated, its moment recorded
+  std::uint64_t in_force = 0, staged = 0;
+  std::string text, staged_text;  ///< the complete tables
+  Time activation_time = 0;       ///< of `in_force`, or of `next` if there is one
+  std::uint64_t next = 0;         ///< activated, but not yet complete
   std::string next_text;
-  std::set<std::string> waited_for;  // members that have not said yes to `staged`
-  std::string last_refusal;          // why the last activation was aborted, with its version
+  std::set<std::string> waited_for;  ///< members that have not accepted `staged` yet
+  std::string last_refusal;          ///< version and reason of the last aborted activation
   std::uint64_t max_proposed = 0,
-                max_proposed_hash = 0;  // highest version ever proposed, and its text's hash
+                max_proposed_hash = 0;  ///< the highest version ever proposed, and the hash of its text
 };
 
+/// A part of a wallet's balance that a balancer may spend until `until`.
 struct Slice {
   std::string holder;
   std::uint64_t incarnation = 0;
   std::int64_t amount = 0;
   Time until = 0;
 };
+/// A prepaid wallet. Always: paid = balance + sum of `out` + spent.
 struct Wallet {
-  std::int64_t paid = 0, balance = 0, spent = 0;  // always: paid = balance + out + spent
-  std::map<std::string, Slice> out;
+  std::int64_t paid = 0, balance = 0, spent = 0;
+  std::map<std::string, Slice> out;  ///< open slices, by id
   std::map<std::string, std::int64_t>
-      held_back;  // lapsed slices, counted as spent until a journal says otherwise
+      held_back;  ///< lapsed slices, counted as spent until a journal reports the amount spent
   std::set<std::string> deposits;
 };
 
+/// The replicated state.
 struct Ledger {
-  std::uint64_t applied = 0;  // the record's index
+  std::uint64_t applied = 0;  ///< index of the last applied log entry
   RouteState routes;
   std::map<std::string, Wallet> wallets;
-  std::vector<std::string> voters;                 // sorted
-  std::map<std::string, CommandId> last_commands;  // of each sender
+  std::vector<std::string> voters;                 ///< sorted
+  std::map<std::string, CommandId> last_commands;  ///< the last counted command of each sender
 };
 
 constexpr std::int64_t kMaxUnits = std::int64_t{1} << 53;
 constexpr std::size_t kMaxRouteTableBytes = 256 * 1024;
 
-// Applies one command, or says why it changes nothing. Never throws; the ledger is whole afterwards. What is
-// refused counts as applied (its sender does not repeat it), unless it came before its turn or again.
+/// Applies a command. Returns an empty string, or the reason why the command was rejected and changed
+/// nothing. Never throws; the ledger stays consistent. A rejected command counts as applied, so its sender
+/// does not repeat it, unless it is out of order or a duplicate.
 std::string apply(Ledger& ledger, std::uint64_t index, const Command& command);
 
+/// A hash of the complete ledger, to compare members.
 std::uint64_t digest(const Ledger& ledger);
-// Flatbuffers (record.fbs) with a 64-bit FNV-1a of all of it behind: what is cut or flipped is not decoded.
+/// Encodes as a flatbuffer (record.fbs) followed by its 64-bit FNV-1a hash.
 std::string encode(const Command& command);
-std::string encode(const Ledger& ledger);             // for snapshots
-bool decode(std::string_view octets, Command& into);  // false: cut, or not of this schema
-bool decode(std::string_view octets, Ledger& into);
+std::string encode(const Ledger& ledger);
+/// Returns false if the input is truncated, corrupted or does not match the schema.
+bool decode(std::string_view bytes, Command& into);
+bool decode(std::string_view bytes, Ledger& into);
 
 }  // namespace marblehub::fleet
--- a/src/fleet/record/command_codec.cpp
+++ b/src/fleet/record/command_codec.cpp
@@ -1,4 +1,4 @@
-// Commands and ledgers as octets, and back.
+// Encoding and decoding of commands and ledgers.
 #include "fleet/record/checked_flatbuffer.h"
 #include "fleet/record/command.h"
 #include "record_generated.h"
@@ -6,51 +6,53 @@
 namespace marblehub::fleet {
 namespace {
 
-// One function names each body's places in the table, for both directions.
-template <class Body, class Table, class Move>
-void places(Body& body, Table& table, Move&& move) {
-  using Kind = std::remove_const_t<Body>;
-  if constexpr (std::is_same_v<Kind, ProposeRoutes>) {
-    move(body.version, table.version), move(body.text, table.text), move(body.members, table.names);
-    move(body.proposed_at, table.at);
-  } else if constexpr (std::is_same_v<Kind, AnswerRoutes>) {
-    move(body.version, table.version), move(body.member, table.member), move(body.refusal, table.text);
-    move(body.given_up, table.flag);
-  } else if constexpr (std::is_same_v<Kind, ActivateRoutes>) {
-    move(body.version, table.version), move(body.activation_time, table.at);
-  } else if constexpr (std::is_same_v<Kind, AbortRoutes>) {
-    move(body.version, table.version), move(body.reason, table.text);
-  } else if constexpr (std::is_same_v<Kind, Deposit>) {
-    move(body.wallet, table.wallet), move(body.deposit, table.slice), move(body.amount, table.amount);
-  } else if constexpr (std::is_same_v<Kind, TakeSlice>) {
-    move(body.wallet, table.wallet), move(body.slice, table.slice), move(body.holder, table.member);
-    move(body.incarnation, table.holder_incarnation), move(body.requested, table.amount);
-    move(body.until, table.at), move(body.min_amount, table.min_amount);
-  } else if constexpr (std::is_same_v<Kind, LapseSlice>) {
-    move(body.wallet, table.wallet), move(body.slice, table.slice);
-  } else if constexpr (std::is_same_v<Kind, ReturnSlice> || std::is_same_v<Kind, ReportSpent>) {
-    move(body.wallet, table.wallet), move(body.slice, table.slice), move(body.spent, table.amount);
-  } else if constexpr (std::is_same_v<Kind, ChangeVoters>) {
-    move(body.voters, table.names);
+// Calls `assign` for each field of a body and the field of the table that holds it, in both directions.
+template <class Body, class Table, class Assign>
+void assign_fields(Body& body, Table& table, Assign&& assign) {
+  using BodyType = std::remove_const_t<Body>;
+  if constexpr (std::is_same_v<BodyType, ProposeRoutes>) {
+    assign(body.version, table.version), assign(body.text, table.text), assign(body.members, table.names);
+    assign(body.proposed_at, table.at);
+  } else if constexpr (std::is_same_v<BodyType, AnswerRoutes>) {
+    assign(body.version, table.version), assign(body.member, table.member), assign(body.refusal, table.text);
+    assign(body.given_up, table.flag);
+  } else if constexpr (std::is_same_v<BodyType, ActivateRoutes>) {
+    assign(body.version, table.version), assign(body.activation_time, table.at);
+  } else if constexpr (std::is_same_v<BodyType, AbortRoutes>) {
+    assign(body.version, table.version), assign(body.reason, table.text);
+  } else if constexpr (std::is_same_v<BodyType, Deposit>) {
+    assign(body.wallet, table.wallet), assign(body.deposit, table.slice), assign(body.amount, table.amount);
+  } else if constexpr (std::is_same_v<BodyType, TakeSlice>) {
+    assign(body.wallet, table.wallet), assign(body.slice, table.slice), assign(body.holder, table.member);
+    assign(body.incarnation, table.holder_incarnation), assign(body.requested, table.amount);
+    assign(body.until, table.at), assign(body.min_amount, table.min_amount);
+  } else if constexpr (std::is_same_v<BodyType, LapseSlice>) {
+    assign(body.wallet, table.wallet), assign(body.slice, table.slice);
+  } else if constexpr (std::is_same_v<BodyType, ReturnSlice> || std::is_same_v<BodyType, ReportSpent>) {
+    assign(body.wallet, table.wallet), assign(body.slice, table.slice), assign(body.spent, table.amount);
+  } else if constexpr (std::is_same_v<BodyType, ChangeVoters>) {
+    assign(body.voters, table.names);
   } else {
-    static_assert(std::is_same_v<Kind, CompleteRoutes>);
-    move(body.version, table.version);
+    static_assert(std::is_same_v<BodyType, CompleteRoutes>);
+    assign(body.version, table.version);
   }
 }
 
+// Sets `into` to the alternative with the index `kind`. Returns false if there is none.
 template <std::size_t Index = 0>
-bool of_kind(std::size_t kind, Body& into) {
+bool emplace_alternative(std::size_t kind, Body& into) {
   if constexpr (Index == std::variant_size_v<Body>) {
     return false;
   } else {
-    if (kind != Index) return of_kind<Index + 1>(kind, into);
+    if (kind != Index) return emplace_alternative<Index + 1>(kind, into);
     into.emplace<Index>();
     return true;
   }
 }
 
+// The results of `fill`, which allocates them, for each element.
 template <class Named, class Fill>
-auto listed(const Named& named, Fill&& fill) {
+auto to_table_vector(const Named& named, Fill&& fill) {
   using Entry = std::remove_pointer_t<decltype(fill(*named.begin()))>;
   std::vector<std::unique_ptr<Entry>> out;
   out.reserve(named.size());
@@ -66,17 +68,19 @@
   table.incarnation = command.id.incarnation;
   table.number = command.id.number;
   table.kind = static_cast<std::uint8_t>(command.body.index());
-  std::visit([&](const auto& body) { places(body, table, [](const auto& from, auto& to) { to = from; }); },
-             command.body);
+  std::visit(
+      [&](const auto& body) { assign_fields(body, table, [](const auto& from, auto& to) { to = from; }); },
+      command.body);
   return encode_with_checksum(table);
 }
 
-bool decode(std::string_view octets, Command& into) {
+bool decode(std::string_view bytes, Command& into) {
   fb::CommandT table;
-  if (!decode_with_checksum(octets, table) || !of_kind(table.kind, into.body)) return false;
+  if (!decode_with_checksum(bytes, table) || !emplace_alternative(table.kind, into.body)) return false;
   into.id = {table.sender, table.incarnation, table.number};
-  std::visit([&](auto& body) { places(body, table, [](auto& to, auto& from) { to = std::move(from); }); },
-             into.body);
+  std::visit(
+      [&](auto& body) { assign_fields(body, table, [](auto& to, auto& from) { to = std::move(from); }); },
+      into.body);
   return true;
 }
 
@@ -94,20 +98,20 @@
     auto& row = *table.wallets.emplace_back(std::make_unique<fb::WalletT>());
     row.name = name, row.paid = wallet.paid, row.balance = wallet.balance, row.spent = wallet.spent;
     row.deposits = {wallet.deposits.begin(), wallet.deposits.end()};
-    row.out = listed(wallet.out, [](const auto& named) {
+    row.out = to_table_vector(wallet.out, [](const auto& named) {
       auto* slice = new fb::SliceT;
       slice->name = named.first, slice->holder = named.second.holder;
       slice->incarnation = named.second.incarnation;
       slice->amount = named.second.amount, slice->until = named.second.until;
       return slice;
     });
-    row.held_back = listed(wallet.held_back, [](const auto& named) {
+    row.held_back = to_table_vector(wallet.held_back, [](const auto& named) {
       auto* slice = new fb::SliceT;
       slice->name = named.first, slice->amount = named.second;
       return slice;
     });
   }
-  table.last = listed(ledger.last_commands, [](const auto& named) {
+  table.last = to_table_vector(ledger.last_commands, [](const auto& named) {
     auto* sender = new fb::SenderT;
     sender->name = named.first, sender->incarnation = named.second.incarnation;
     sender->number = named.second.number;
@@ -116,9 +120,9 @@
   return encode_with_checksum(table);
 }
 
-bool decode(std::string_view octets, Ledger& into) {
+bool decode(std::string_view bytes, Ledger& into) {
   fb::LedgerT table;
-  if (!decode_with_checksum(octets, table)) return false;
+  if (!decode_with_checksum(bytes, table)) return false;
   into = {};
   RouteState& routes = into.routes;
   into.applied = table.applied;
--- a/tests/fleet/record/command_test.cpp
+++ b/tests/fleet/record/command_test.cpp
@@ -23,13 +23,13 @@
 TEST_CASE("a command is applied once, in its sender's order") {
   Ledger ledger;
   const Command first{{"b1", 5, 1}, Deposit{"w", "d1", 10}}, second{{"b1", 5, 2}, Deposit{"w", "d2", 5}};
-  CHECK(apply(ledger, 1, second) == "before its turn");
+  CHECK(apply(ledger, 1, second) == "out of order");
   CHECK(apply(ledger, 2, first).empty());
-  CHECK(apply(ledger, 3, first) == "applied before");
+  CHECK(apply(ledger, 3, first) == "already applied");
   CHECK(apply(ledger, 4, second).empty());
-  CHECK(apply(ledger, 4, {{"b1", 5, 3}, Deposit{"w", "d3", 5}}) == "index 4 was applied before");
-  CHECK(apply(ledger, 5, {{"b1", 4, 3}, Deposit{"w", "d4", 5}}) == "of an earlier process");
-  CHECK(apply(ledger, 6, {{"b1", 6, 1}, Deposit{"w", "d1", 5}}) == "deposit d1 was made before");
+  CHECK(apply(ledger, 4, {{"b1", 5, 3}, Deposit{"w", "d3", 5}}) == "index 4 is already applied");
+  CHECK(apply(ledger, 5, {{"b1", 4, 3}, Deposit{"w", "d4", 5}}) == "from an earlier incarnation");
+  CHECK(apply(ledger, 6, {{"b1", 6, 1}, Deposit{"w", "d1", 5}}) == "deposit d1 is a duplicate");
   CHECK(ledger.wallets["w"].balance == 15);
   CHECK(ledger.applied == 6);
 }
@@ -39,7 +39,7 @@
   RouteState& routes = book.ledger.routes;
   CHECK(book.by(ProposeRoutes{3, "three", {"b1", "b2", "b3"}, 100}).empty());
   CHECK(book.by(ProposeRoutes{3, "three", {"b1"}, 100}) == "version 3 is not above 3");
-  CHECK(book.by(ActivateRoutes{3, 900}) == "version 3 waits for b1 and 2 more");
+  CHECK(book.by(ActivateRoutes{3, 900}) == "version 3 is waiting for b1 and 2 more");
   CHECK(book.by(AnswerRoutes{3, "b1", "", false}).empty());
   CHECK(book.by(AnswerRoutes{3, "b1", "", false}) == "b1 is not waited for");
   CHECK(book.by(AnswerRoutes{3, "b2", "", false}).empty());
@@ -53,12 +53,12 @@
   // While its moment is ahead another may be staged, but not activated.
   CHECK(book.by(ProposeRoutes{4, "four", {"b1"}, 899}).empty());
   CHECK(book.by(AnswerRoutes{4, "b1", "", false}).empty());
-  CHECK(book.by(ActivateRoutes{4, 2000}) == "the moment of version 3 is not over");
+  CHECK(book.by(ActivateRoutes{4, 2000}) == "the activation of version 3 is not complete");
   CHECK(book.by(CompleteRoutes{3}).empty());
   CHECK(routes.in_force == 3);
   CHECK(routes.text == "three");
   CHECK(routes.activation_time == 900);
-  CHECK(book.by(ActivateRoutes{4, 900}) == "its moment is not after the last one");
+  CHECK(book.by(ActivateRoutes{4, 900}) == "the activation time is not after the previous one");
   CHECK(book.by(ActivateRoutes{4, 2000}).empty());
   CHECK(book.by(ProposeRoutes{5, "five", {"b1"}, 2000}).empty());  // shows that 4's moment is past
   CHECK(routes.in_force == 4);
@@ -72,7 +72,7 @@
   CHECK(routes.last_refusal == "version 3 aborted: b2: pools[0]: unknown");
   CHECK(routes.staged == 0);
   CHECK(book.by(ProposeRoutes{3, "other", {"b1"}, 0}) ==
-        "version 3 was proposed with another table: take a higher number");
+        "version 3 was proposed with a different table: use a higher version");
   CHECK(book.by(ProposeRoutes{3, "three", {"b1"}, 0}).empty());
   CHECK(book.by(ProposeRoutes{5, "five", {"b1"}, 0}).empty());
   CHECK(routes.last_refusal == "version 3 aborted: replaced by version 5");
@@ -80,7 +80,7 @@
   CHECK(book.by(AbortRoutes{5, "time-out"}).empty());
   CHECK(routes.last_refusal == "version 5 aborted: time-out");
   CHECK(book.by(ProposeRoutes{6, std::string(kMaxRouteTableBytes + 1, 'x'), {"b1"}, 0}) ==
-        "version 6 is over 262144 octets");
+        "version 6 is over 262144 bytes");
 }
 
 TEST_CASE("slices leave the balance, return, lapse, and are found") {
@@ -92,16 +92,17 @@
   CHECK(book.by(Deposit{"w", "e", kMaxUnits}) == "wallet would be over 2^53");
   CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}).empty());
   CHECK(wallet.out["s1"].amount == 10);
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}) == "slice s1 was taken before");
+  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}) == "slice s1 already exists");
   CHECK(book.by(TakeSlice{"w", "s2", "b2", 1, 3, 9}).empty());
-  CHECK(book.by(ReturnSlice{"w", "s1", 11}) == "spent is not within the slice");
+  CHECK(book.by(ReturnSlice{"w", "s1", 11}) == "spent is negative or over the amount of the slice");
   CHECK(book.by(ReturnSlice{"w", "s1", 4}).empty());
-  CHECK(book.by(ReturnSlice{"w", "s1", 4}) == "slice s1 is not out");
+  CHECK(book.by(ReturnSlice{"w", "s1", 4}) == "slice s1 is not open");
   CHECK(wallet.balance == 73);
-  CHECK(book.by(ReportSpent{"w", "s2", 1}, "b2", 1) == "slice s2 is still out to a living holder");
+  CHECK(book.by(ReportSpent{"w", "s2", 1}, "b2", 1) ==
+        "slice s2 is not of an earlier incarnation of the sender");
   CHECK(book.by(LapseSlice{"w", "s2"}).empty());
   CHECK(wallet.spent == 7);
-  CHECK(book.by(ReturnSlice{"w", "s2", 1}) == "slice s2 is not out");
+  CHECK(book.by(ReturnSlice{"w", "s2", 1}) == "slice s2 is not open");
   CHECK(book.by(ReportSpent{"w", "s2", 1}).empty());
   CHECK(wallet.spent == 5);
   CHECK(wallet.balance == 75);
@@ -114,12 +115,14 @@
   Book book;
   Wallet& wallet = book.ledger.wallets["w"];
   book.by(Deposit{"w", "d", 130});
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9, 51}) == "least is negative or over what is wanted");
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9, -1}) == "least is negative or over what is wanted");
+  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9, 51}) ==
+        "the minimum is negative or over the requested amount");
+  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9, -1}) ==
+        "the minimum is negative or over the requested amount");
   CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 80, 9, 50}).empty());
   CHECK(wallet.out["s1"].amount == 50);
   CHECK(book.by(TakeSlice{"w", "s2", "b2", 1, 50, 9, 50}).empty());
-  CHECK(book.by(TakeSlice{"w", "s3", "b3", 1, 50, 9, 50}) == "wallet w has less than a call's price");
+  CHECK(book.by(TakeSlice{"w", "s3", "b3", 1, 50, 9, 50}) == "wallet w has less than the price of a call");
   CHECK(wallet.balance == 30);
   CHECK(book.by(TakeSlice{"w", "s3", "b3", 1, 50, 9}).empty());
   CHECK(wallet.out["s3"].amount == 3);
