--- a/src/fleet/record/lmdb_disk.h
+++ b/src/fleet/record/lmdb_disk.h
@@ -1,10 +1,5 @@
-// A voter's disk in service: one LMDB file, `record.mdb` in the settings' folder, synced at each call, a
-// 64-bit FNV-1a behind each record.
-//
-// Outcomes: the folder missing, not writable or no folder, or held by another process: the constructor throws
-// StorageError with the path and why. Disk or map full, or an input/output error while writing: the
-// call returns false and nothing of it is kept. A record whose hash is off, or one missing between others:
-// load throws with file, offset and key. Damage to LMDB's own pages is refused where LMDB notices it.
+/// The disk of a voter in service: one LMDB file, `record.mdb`, in the settings' folder. Each call is synced,
+/// and each record ends with its 64-bit FNV-1a hash.
 #pragma once
 
 #include "fleet/record/record.h"
@@ -14,9 +9,14 @@
 
 namespace marblehub::fleet {
 
+/// Owns the file and a lock on `record.lock`. Each store function is one transaction: if the disk or the map
+/// is full or a write fails, it returns false and nothing has changed. Damage to LMDB's own pages is detected
+/// only where LMDB notices it.
 class LmdbDisk : public Disk {
  public:
-  explicit LmdbDisk(const std::string& folder, std::size_t map_octets = std::size_t{1} << 28);
+  /// Throws StorageError with path and reason if the folder is missing, not writable or not a folder, or if
+  /// another process holds the lock.
+  explicit LmdbDisk(const std::string& folder, std::size_t map_bytes = std::size_t{1} << 28);
   ~LmdbDisk() override;
   LmdbDisk(const LmdbDisk&) = delete;
   LmdbDisk& operator=(const LmdbDisk&) = delete;
@@ -24,11 +24,12 @@
   bool store_voting_state(const VotingState& state) override;
   bool append(const std::vector<Entry>& entries) override;
   bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override;
+  /// Also throws StorageError if a log entry is missing.
   Contents load() override;
 
  private:
   template <class Change>
-  bool write(Change&& change);  // all of it or nothing
+  bool write(Change&& change);  // runs `change` in a transaction
   std::string file_;
   int lock_ = -1;
   MDB_env* env_ = nullptr;
--- a/src/fleet/record/memory_disk.h
+++ b/src/fleet/record/memory_disk.h
@@ -1,5 +1,4 @@
-// A disk in memory, with the faults that disks have. Restarting a voter is making a new Record on it; losing
-// the disk is making it anew; an old copy is a copy of it.
+/// A disk in memory, for tests.
 #pragma once
 
 #include <algorithm>
@@ -8,9 +7,11 @@
 
 namespace marblehub::fleet {
 
+/// Keeps its contents across restarts of a Record. A lost disk is simulated by a new object, an outdated disk
+/// by a copy.
 class MemoryDisk : public Disk {
  public:
-  bool full = false;
+  bool full = false;  ///< if set, every store function fails
   bool store_voting_state(const VotingState& state) override {
     if (full) return false;
     contents_.empty = false;
@@ -27,11 +28,11 @@
   bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) override {
     if (full) return false;
     contents_.empty = false;
-    // Entries after it follow it only where it is of the same log.
-    const auto same =
+    // Later entries are kept only if the log contains the snapshot's last entry.
+    const auto found =
         std::ranges::find_if(contents_.entries, [&](const Entry& e) { return e.index == index; });
-    const bool follow = same != contents_.entries.end() && same->term == term;
-    std::erase_if(contents_.entries, [&](const Entry& e) { return !follow || e.index <= index; });
+    const bool keep = found != contents_.entries.end() && found->term == term;
+    std::erase_if(contents_.entries, [&](const Entry& e) { return !keep || e.index <= index; });
     contents_.snapshot_index = index;
     contents_.snapshot_term = term;
     contents_.snapshot = ledger;
--- a/tests/fleet/record/disk_test.cpp
+++ b/tests/fleet/record/disk_test.cpp
@@ -107,7 +107,7 @@
     }
     // A record begins with its term, eight octets before the command.
     CHECK(why == "record: " + folder.path + "/record.mdb at offset " + std::to_string(at - 8) +
-                     ": a record is torn or flipped");
+                     ": a record is corrupted");
     file.seekp(static_cast<std::streamoff>(at + 4));
     file.put(what[4]).flush();
   }
