--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -6,15 +6,15 @@
 
 namespace marblehub::fleet {
 
-Node::Node(NodeOptions parts, Time now)
-    : view_(std::make_unique<View>(parts.settings, parts.incarnation, parts.seed, now)),
-      record_(std::make_unique<Record>(parts.settings, parts.incarnation, parts.disk, parts.first_fleet,
-                                       parts.seed ^ 0x9e3779b97f4a7c15, now)) {
-  if (!parts.settings.routes_file.empty())
-    routes_ = std::make_unique<Routes>(parts.settings, std::move(parts.calls), now);
-  if (parts.wallet)
-    wallets_ = std::make_unique<Wallets>(parts.settings, std::move(*parts.wallet), parts.journal,
-                                         parts.incarnation, parts.seed ^ 0xd1b54a32d192ed03, now);
+Node::Node(NodeOptions options, Time now)
+    : view_(std::make_unique<View>(options.settings, options.incarnation, options.seed, now)),
+      record_(std::make_unique<Record>(options.settings, options.incarnation, options.disk,
+                                       options.first_fleet, options.seed ^ 0x9e3779b97f4a7c15, now)) {
+  if (!options.settings.routes_file.empty())
+    routes_ = std::make_unique<Routes>(options.settings, std::move(options.calls), now);
+  if (options.wallet)
+    wallets_ = std::make_unique<Wallets>(options.settings, std::move(*options.wallet), options.journal,
+                                         options.incarnation, options.seed ^ 0xd1b54a32d192ed03, now);
 }
 
 void Node::observe_clock(Time now, const std::string& from, Time sent_at) {
@@ -27,19 +27,19 @@
     view_->received(now, from, body, transport, out);
   else if (component == Component::record)
     record_->received(now, from, body, out);
-  settle(now, out);  // a wallet has no messages of its own: all of it goes by the record
+  step_components(now, out);  // the wallets have no messages of their own and use the record
 }
 
 void Node::tick(Time now, Outbox& out) {
   view_->tick(now, out);
   record_->tick(now, out);
-  settle(now, out);
+  step_components(now, out);
 }
 
 void Node::leave(Time now, Outbox& out) {
-  if (wallets_) wallets_->return_all(now, *record_, out);  // first: what it returns is still this member's
+  if (wallets_) wallets_->return_all(now, *record_, out);  // before this member leaves the view
   view_->leave(now, out);
-  settle(now, out);
+  step_components(now, out);
 }
 
 Time Node::next_due() const {
@@ -49,7 +49,7 @@
   return due;
 }
 
-void Node::settle(Time now, Outbox& out) {
+void Node::step_components(Time now, Outbox& out) {
   const std::uint64_t generation = view_->generation();
   MARBLEHUB_INVARIANT("node", generation >= generation_, "the view's generation went back");
   if (generation != generation_ || alive_.empty()) {
@@ -60,13 +60,14 @@
         alive_.push_back(name);
     record_->update_members(now, alive_, out);
   }
-  // A leader of one applies what it proposes at once, and the next part is to see it in the same turn.
-  // Bounded: whatever is left is stepped at next_due.
-  for (int turn = 0; turn < 4; ++turn) {
+  // The leader of a single voter applies its commands immediately, and the other components should see the
+  // result in the same step. The number of rounds is limited; the rest follows at next_due.
+  for (int round = 0; round < 4; ++round) {
     const std::uint64_t applied = record_->ledger().applied;
     if (routes_) routes_->step(now, *record_, alive_, out);
     if (wallets_) wallets_->step(now, *record_, alive_, out);
-    MARBLEHUB_INVARIANT("node", record_->ledger().applied >= applied, "the record went back");
+    MARBLEHUB_INVARIANT("node", record_->ledger().applied >= applied,
+                        "the applied index of the record went back");
     if (record_->ledger().applied == applied) break;
   }
 }
