--- a/src/fleet/record/command.h
+++ b/src/fleet/record/command.h
@@ -120,8 +120,8 @@
   std::string next_text;
   std::set<std::string> waited_for;  ///< members that have not accepted `staged` yet
   std::string last_refusal;          ///< version and reason of the last aborted activation
-  std::uint64_t max_proposed = 0,
-                max_proposed_hash = 0;  ///< the highest version ever proposed, and the hash of its text
+  /// The highest version ever proposed, and the hash of its text.
+  std::uint64_t max_proposed = 0, max_proposed_hash = 0;
 };
 
 /// A part of a wallet's balance that a balancer may spend until `until`.
@@ -135,8 +135,8 @@
 struct Wallet {
   std::int64_t paid = 0, balance = 0, spent = 0;
   std::map<std::string, Slice> out;  ///< open slices, by id
-  std::map<std::string, std::int64_t>
-      held_back;  ///< lapsed slices, counted as spent until a journal reports the amount spent
+  /// Lapsed slices, counted as spent until a journal reports the amount spent.
+  std::map<std::string, std::int64_t> held_back;
   std::set<std::string> deposits;
 };
 
--- a/src/fleet/record/learning.cpp
+++ b/src/fleet/record/learning.cpp
@@ -14,8 +14,8 @@
 constexpr int kGrantInterval = 5;      // between grants to a learner if there is no other update
 constexpr int kStaleAfter = 8;         // without an update, another upstream is selected
 constexpr int kFirstReplyTimeout = 2;  // for the first reply of a new upstream
-constexpr int kRenewalInterval = 40,
-              kForgetAfter = 50;  // between requests if no update is lost; until a silent learner is removed
+// Between requests if no update is lost, and until a silent learner is removed.
+constexpr int kRenewalInterval = 40, kForgetAfter = 50;
 
 }  // namespace
 
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -40,8 +40,8 @@
   virtual bool store_snapshot(std::uint64_t index, std::uint64_t term, const std::string& ledger) = 0;
   /// Everything that is stored.
   struct Contents {
-    bool empty =
-        true;  ///< nothing was ever stored: a voter has to be added to the voters again before it votes
+    /// Nothing was ever stored: a voter has to be added to the voters again before it votes.
+    bool empty = true;
     VotingState voting;
     std::uint64_t snapshot_index = 0, snapshot_term = 0;
     std::string snapshot;
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -22,15 +22,16 @@
   kSnapshotChunk,    ///< to voters and learners: bytes at offset of a snapshot of total bytes
   kSnapshotReply,    ///< the next offset expected of the snapshot at index; flag: complete
   kForward,          ///< commands on their way to the leader, over at most 8 hops
-  kLearnRequest,     ///< asks for entries after index, or heartbeats newer than term and heartbeat: at first,
-                  ///< where something is missing, and every 40 heartbeat intervals. A learner that sends none
-                  ///< for 50 intervals is removed.
-  kLearnUpdate,    ///< committed entries, commit, lease; sent when there is news, and a grant at every fifth
-                   ///< heartbeat
+  /// Asks for entries after index, or heartbeats newer than term and heartbeat: at first, where something is
+  /// missing, and every 40 heartbeat intervals. A learner that sends none for 50 intervals is removed.
+  kLearnRequest,
+  /// Committed entries, commit, lease; sent when there is news, and a grant at every fifth heartbeat.
+  kLearnUpdate,
   kLearnRedirect,  ///< the member serves no more learners or is out of date; names: members to try instead
   kRejoinRequest,  ///< a voter after its start, or an excluded one: its index and index_term; flag: excluded
-  kRejoinReply,    ///< what the requester is known to have had: term, index, index_term; flag: the leader
-                   ///< knows more: wait for its reply; total: the applied index, if the sender leads
+  /// What the requester is known to have had: term, index, index_term; flag: only the leader knows, wait for
+  /// its reply; total: the applied index, if the sender leads.
+  kRejoinReply,
 };
 
 using Message = fb::MessageT;
@@ -63,9 +64,9 @@
   // replication.cpp
   /// What the leader knows of a voter.
   struct Peer {
-    std::uint64_t next = 1,
-                  match = 0;  // as in Raft: next index to send, highest index known to be replicated
-    Time contact = 0;         // when the last request that it answered was sent
+    // As in Raft: the next index to send, and the highest index known to be replicated.
+    std::uint64_t next = 1, match = 0;
+    Time contact = 0;  // when the last request that it answered was sent
     std::uint64_t snapshot_offset = 0;
   };
   void broadcast_heartbeat(Time now, Outbox& out);
@@ -146,10 +147,10 @@
   Time grant_heartbeat = 0, heartbeat_sent_at = 0, heartbeat_received_at = 0;
 
   std::string upstream;  // the member that this one learns from
-  Time last_request = 0,
-       last_update = 0;  // to upstream; of something newer, or set back when it was selected
-  std::tuple<std::uint64_t, std::uint64_t, Time>
-      pushed_activation;  // version, next and activation time last sent to the learners
+  // Of a request to upstream; of an update from it, or set back when upstream was selected.
+  Time last_request = 0, last_update = 0;
+  // Version, next and activation time that were last sent to the learners.
+  std::tuple<std::uint64_t, std::uint64_t, Time> pushed_activation;
   std::map<std::string, Learner> learners;
   std::vector<std::string> alive_members;
 
