--- a/tests/fleet/record/cluster.h
+++ b/tests/fleet/record/cluster.h
@@ -1,5 +1,5 @@
-// Voters and observers on one virtual clock, with a network and disks that fail as they are told, and what
-// must hold between them checked after every step.
+/// A simulation of voters and observers on a virtual clock, with injected faults of the network and the
+/// disks. The invariants between members are checked after every step.
 #pragma once
 
 #include <map>
@@ -13,8 +13,8 @@
 
 namespace marblehub::fleet {
 
-// Sees every vote that is kept: one a term, as long as the disk stands.
-class WatchedDisk : public MemoryDisk {
+/// Throws if a voter votes twice in a term or its term goes back.
+class CheckedDisk : public MemoryDisk {
  public:
   bool store_voting_state(const VotingState& state) override {
     const VotingState before = contents().voting;
@@ -25,21 +25,24 @@
   }
 };
 
+/// Throws std::logic_error if an invariant is violated.
 struct Cluster {
+  /// A simulated member. `offset` is the error of its clock; it handles nothing until `asleep_until`.
   struct Member {
     Settings settings;
-    std::unique_ptr<WatchedDisk> disk;
+    std::unique_ptr<CheckedDisk> disk;
     std::unique_ptr<Record> record;
     std::uint64_t incarnation = 0;
     Time offset = 0, asleep_until = 0;
     std::uint64_t applied = 0;
   };
+  /// A message in transit.
   struct Flight {
-    Time at;
+    Time deliver_at;
     std::uint64_t order;
     std::string from, to, body;
     bool operator<(const Flight& other) const {
-      return std::tie(at, order) > std::tie(other.at, other.order);
+      return std::tie(deliver_at, order) > std::tie(other.deliver_at, other.order);
     }
   };
 
@@ -51,7 +54,7 @@
       Member& member = members[name];
       member.settings.name = name;
       member.settings.voters = first;
-      if (name[0] == 'v') member.disk = std::make_unique<WatchedDisk>();
+      if (name[0] == 'v') member.disk = std::make_unique<CheckedDisk>();
       start(name, true);
     }
   }
@@ -68,39 +71,41 @@
   void crash(const std::string& name) { members[name].record.reset(); }
 
   void post(const std::string& from, Outbox& out) {
-    for (Outgoing& each : out) {
-      if (each.body.size() > (1 << 20)) throw std::logic_error("a message over 1 MiB");
+    for (Outgoing& outgoing : out) {
+      if (outgoing.body.size() > (1 << 20)) throw std::logic_error("a message over 1 MiB");
       ++sent[from];
-      octets[from] += each.body.size();
-      if (each.transport == Transport::datagram) ++datagrams;
-      if (silent.contains({from, each.to}) || chance() < loss) continue;
-      if (each.transport == Transport::datagram && datagrams_lost > 0 && chance() < datagrams_lost) continue;
-      const int copies = chance() < repeat ? 2 : 1;
+      sent_bytes[from] += outgoing.body.size();
+      if (outgoing.transport == Transport::datagram) ++datagrams;
+      if (blocked.contains({from, outgoing.to}) || uniform() < loss) continue;
+      if (outgoing.transport == Transport::datagram && datagram_loss > 0 && uniform() < datagram_loss)
+        continue;
+      const int copies = uniform() < duplication ? 2 : 1;
       for (int i = 0; i < copies; ++i) {
         Time delay = 500 + static_cast<Time>(random() % 1500);
-        while (each.transport == Transport::stream && datagrams_lost > 0 && chance() < datagrams_lost)
-          delay += 200'000;  // TCP's
-        if (chance() < late) delay += static_cast<Time>(random() % 400'000);
-        flights.push({now + delay, ++order, from, each.to, each.body});
+        while (outgoing.transport == Transport::stream && datagram_loss > 0 && uniform() < datagram_loss)
+          delay += 200'000;  // the minimum retransmission timeout on Linux
+        if (uniform() < extra_delay) delay += static_cast<Time>(random() % 400'000);
+        in_transit.push({now + delay, ++order, from, outgoing.to, outgoing.body});
       }
     }
     out.clear();
   }
-  double chance() { return static_cast<double>(random() % 1'000'000) / 1e6; }
+  // In [0, 1).
+  double uniform() { return static_cast<double>(random() % 1'000'000) / 1e6; }
 
   void run(Time span) {
     const Time end = now + span;
     while (now < end) {
       now += 1000;
-      while (!flights.empty() && flights.top().at <= now) {
-        const Flight flight = flights.top();
-        flights.pop();
-        Member& to = members[flight.to];
+      while (!in_transit.empty() && in_transit.top().deliver_at <= now) {
+        const Flight message = in_transit.top();
+        in_transit.pop();
+        Member& to = members[message.to];
         if (!to.record || to.asleep_until > now) continue;
         Outbox out;
-        to.record->received(now + to.offset, flight.from, flight.body, out);
-        post(flight.to, out);
-        check(flight.to, to);
+        to.record->received(now + to.offset, message.from, message.body, out);
+        post(message.to, out);
+        check_invariants(message.to, to);
       }
       for (auto& [name, member] : members) {
         if (!member.record || member.asleep_until > now || member.record->next_due() > now + member.offset)
@@ -108,35 +113,36 @@
         Outbox out;
         member.record->tick(now + member.offset, out);
         post(name, out);
-        check(name, member);
+        check_invariants(name, member);
       }
       if (now % 5000 == 0) check_leases();
     }
   }
 
-  // Which version a holder of what this member was granted would place by, clock_bound away from both ends.
-  static std::uint64_t places_by(const Member& member, Time own) {
+  // The version by which the holder of the member's grant would place, with a margin of clock_bound at both
+  // ends; 0 if none.
+  static std::uint64_t version_in_use(const Member& member, Time local_now) {
     const auto grant = member.record->grant();
-    if (!grant || own >= grant->until - member.settings.clock_bound) return 0;
+    if (!grant || local_now >= grant->until - member.settings.clock_bound) return 0;
     if (grant->next == 0) return grant->version;
-    if (own >= grant->activation_time) return grant->next;
-    return own < grant->activation_time - member.settings.clock_bound ? grant->version : 0;
+    if (local_now >= grant->activation_time) return grant->next;
+    return local_now < grant->activation_time - member.settings.clock_bound ? grant->version : 0;
   }
   void check_leases() {
     for (auto& [name, member] : members) {
       if (!member.record || member.asleep_until > now) continue;
-      const std::uint64_t version = places_by(member, now + member.offset);
+      const std::uint64_t version = version_in_use(member, now + member.offset);
       if (version == 0) continue;
-      ++placings;
-      const Time first = placed.try_emplace(version, now).first->second;
-      if (placed.rbegin()->first > version &&
-          now - placed.upper_bound(version)->second > member.settings.clock_bound)
-        throw std::logic_error(name + " places by " + std::to_string(version) + ", first placed by at " +
+      ++lease_checks;
+      const Time first = first_use.try_emplace(version, now).first->second;
+      if (first_use.rbegin()->first > version &&
+          now - first_use.upper_bound(version)->second > member.settings.clock_bound)
+        throw std::logic_error(name + " places by version " + std::to_string(version) + ", first used at " +
                                std::to_string(first) + ", after a newer one");
     }
   }
 
-  void check(const std::string& name, Member& member) {
+  void check_invariants(const std::string& name, Member& member) {
     const Record& record = *member.record;
     if (record.role() == Role::leader) {
       const auto [found, fresh] = leaders.try_emplace(record.term(), name);
@@ -144,12 +150,12 @@
         throw std::logic_error("two leaders in term " + std::to_string(record.term()));
     }
     const std::uint64_t applied = record.ledger().applied;
-    if (applied < member.applied) throw std::logic_error(name + " took back what was applied");
+    if (applied < member.applied) throw std::logic_error(name + " moved its applied index back");
     if (applied == member.applied) return;
     member.applied = applied;
     const auto [found, fresh] = digests.try_emplace(applied, digest(record.ledger()));
     if (!fresh && found->second != digest(record.ledger()))
-      throw std::logic_error(name + " holds another ledger at " + std::to_string(applied));
+      throw std::logic_error(name + " has a different ledger at index " + std::to_string(applied));
   }
 
   std::uint64_t propose(const std::string& name, Body body) {
@@ -159,7 +165,7 @@
     post(name, out);
     return number;
   }
-  // The leader that most recently came to be, of those that run.
+  // The running leader with the highest term; empty if there is none.
   std::string leader() {
     std::string found;
     std::uint64_t term = 0;
@@ -168,13 +174,14 @@
         found = name, term = member.record->term();
     return found;
   }
-  void cut(const std::set<std::string>& half) {
+  // Partitions the network.
+  void partition(const std::set<std::string>& half) {
     for (const std::string& a : names)
       for (const std::string& b : names)
-        if (half.contains(a) != half.contains(b)) silent.insert({a, b});
+        if (half.contains(a) != half.contains(b)) blocked.insert({a, b});
   }
-  // True once all that run have applied the same and `wallet` there holds `paid`.
-  bool settled(std::int64_t paid, Time within) {
+  // Runs until the wallet of every running member has been paid `paid`, at most for `within`.
+  bool converged(std::int64_t paid, Time within) {
     for (const Time end = now + within; now < end;) {
       run(50'000);
       bool all = true;
@@ -190,19 +197,19 @@
 
   std::mt19937_64 random;
   Time now = 1'000'000'000;
-  double loss = 0, repeat = 0, late = 0;
-  double datagrams_lost = 0;  // and streams are late by as much as TCP makes them
+  double loss = 0, duplication = 0, extra_delay = 0;  // probabilities for a message
+  double datagram_loss = 0;                           // also delays streams, by TCP's retransmission timeout
   std::vector<std::string> names;
   std::map<std::string, Member> members;
-  std::set<std::pair<std::string, std::string>> silent;
-  std::priority_queue<Flight> flights;
+  std::set<std::pair<std::string, std::string>> blocked;  // sender and receiver
+  std::priority_queue<Flight> in_transit;
   std::uint64_t order = 0;
-  std::map<std::string, std::uint64_t> sent, octets;
+  std::map<std::string, std::uint64_t> sent, sent_bytes;
   std::uint64_t datagrams = 0;
   std::map<std::uint64_t, std::string> leaders;
   std::map<std::uint64_t, std::uint64_t> digests;
-  std::map<std::uint64_t, Time> placed;  // when each version was first placed by
-  std::uint64_t placings = 0;
+  std::map<std::uint64_t, Time> first_use;  // of each version
+  std::uint64_t lease_checks = 0;
 };
 
 }  // namespace marblehub::fleet
--- a/tests/fleet/record/command_test.cpp
+++ b/tests/fleet/record/command_test.cpp
@@ -1,4 +1,4 @@
-// The pure rules: one command after the other on one ledger.
+// How commands change a ledger.
 #include "fleet/record/command.h"
 
 #include <catch2/catch.hpp>
@@ -8,10 +8,11 @@
 
 namespace {
 
-struct Book {
+/// A ledger to which commands are applied in the order of their sender.
+struct TestLedger {
   Ledger ledger;
   std::uint64_t number = 0;
-  std::string by(Body body, const std::string& sender = "b1", std::uint64_t incarnation = 1) {
+  std::string submit(Body body, const std::string& sender = "b1", std::uint64_t incarnation = 1) {
     const CommandId& last = ledger.last_commands[sender];
     return apply(ledger, ledger.applied + 1,
                  {{sender, incarnation, last.incarnation == incarnation ? last.number + 1 : 1}, body});
@@ -34,146 +35,148 @@
   CHECK(ledger.applied == 6);
 }
 
-TEST_CASE("a version is staged by all, activated for a moment, and nothing aborts it then") {
-  Book book;
-  RouteState& routes = book.ledger.routes;
-  CHECK(book.by(ProposeRoutes{3, "three", {"b1", "b2", "b3"}, 100}).empty());
-  CHECK(book.by(ProposeRoutes{3, "three", {"b1"}, 100}) == "version 3 is not above 3");
-  CHECK(book.by(ActivateRoutes{3, 900}) == "version 3 is waiting for b1 and 2 more");
-  CHECK(book.by(AnswerRoutes{3, "b1", "", false}).empty());
-  CHECK(book.by(AnswerRoutes{3, "b1", "", false}) == "b1 is not waited for");
-  CHECK(book.by(AnswerRoutes{3, "b2", "", false}).empty());
-  CHECK(book.by(AnswerRoutes{3, "b3", "", true}).empty());
-  CHECK(book.by(ActivateRoutes{3, 900}).empty());
+TEST_CASE("a version is accepted by all, activated for a time, and cannot be aborted then") {
+  TestLedger test;
+  RouteState& routes = test.ledger.routes;
+  CHECK(test.submit(ProposeRoutes{3, "three", {"b1", "b2", "b3"}, 100}).empty());
+  CHECK(test.submit(ProposeRoutes{3, "three", {"b1"}, 100}) == "version 3 is not above 3");
+  CHECK(test.submit(ActivateRoutes{3, 900}) == "version 3 is waiting for b1 and 2 more");
+  CHECK(test.submit(AnswerRoutes{3, "b1", "", false}).empty());
+  CHECK(test.submit(AnswerRoutes{3, "b1", "", false}) == "b1 is not waited for");
+  CHECK(test.submit(AnswerRoutes{3, "b2", "", false}).empty());
+  CHECK(test.submit(AnswerRoutes{3, "b3", "", true}).empty());
+  CHECK(test.submit(ActivateRoutes{3, 900}).empty());
   CHECK(routes.next == 3);
   CHECK(routes.next_text == "three");
   CHECK(routes.staged == 0);
-  CHECK_FALSE(book.by(AbortRoutes{3, "late"}).empty());
-  CHECK_FALSE(book.by(AnswerRoutes{3, "b2", "no", false}).empty());
-  // While its moment is ahead another may be staged, but not activated.
-  CHECK(book.by(ProposeRoutes{4, "four", {"b1"}, 899}).empty());
-  CHECK(book.by(AnswerRoutes{4, "b1", "", false}).empty());
-  CHECK(book.by(ActivateRoutes{4, 2000}) == "the activation of version 3 is not complete");
-  CHECK(book.by(CompleteRoutes{3}).empty());
+  CHECK_FALSE(test.submit(AbortRoutes{3, "late"}).empty());
+  CHECK_FALSE(test.submit(AnswerRoutes{3, "b2", "no", false}).empty());
+  // Before the activation is complete another version may be staged, but not activated.
+  CHECK(test.submit(ProposeRoutes{4, "four", {"b1"}, 899}).empty());
+  CHECK(test.submit(AnswerRoutes{4, "b1", "", false}).empty());
+  CHECK(test.submit(ActivateRoutes{4, 2000}) == "the activation of version 3 is not complete");
+  CHECK(test.submit(CompleteRoutes{3}).empty());
   CHECK(routes.in_force == 3);
   CHECK(routes.text == "three");
   CHECK(routes.activation_time == 900);
-  CHECK(book.by(ActivateRoutes{4, 900}) == "the activation time is not after the previous one");
-  CHECK(book.by(ActivateRoutes{4, 2000}).empty());
-  CHECK(book.by(ProposeRoutes{5, "five", {"b1"}, 2000}).empty());  // shows that 4's moment is past
+  CHECK(test.submit(ActivateRoutes{4, 900}) == "the activation time is not after the previous one");
+  CHECK(test.submit(ActivateRoutes{4, 2000}).empty());
+  CHECK(test.submit(ProposeRoutes{5, "five", {"b1"}, 2000}).empty());  // its time is past 4's activation time
   CHECK(routes.in_force == 4);
 }
 
-TEST_CASE("a refusal, an abort and a newer version end an activation with its reason") {
-  Book book;
-  RouteState& routes = book.ledger.routes;
-  book.by(ProposeRoutes{3, "three", {"b1", "b2"}, 0});
-  CHECK(book.by(AnswerRoutes{3, "b2", "pools[0]: unknown", false}).empty());
+TEST_CASE("a refusal, an abort and a newer version end an activation and record the reason") {
+  TestLedger test;
+  RouteState& routes = test.ledger.routes;
+  test.submit(ProposeRoutes{3, "three", {"b1", "b2"}, 0});
+  CHECK(test.submit(AnswerRoutes{3, "b2", "pools[0]: unknown", false}).empty());
   CHECK(routes.last_refusal == "version 3 aborted: b2: pools[0]: unknown");
   CHECK(routes.staged == 0);
-  CHECK(book.by(ProposeRoutes{3, "other", {"b1"}, 0}) ==
+  CHECK(test.submit(ProposeRoutes{3, "other", {"b1"}, 0}) ==
         "version 3 was proposed with a different table: use a higher version");
-  CHECK(book.by(ProposeRoutes{3, "three", {"b1"}, 0}).empty());
-  CHECK(book.by(ProposeRoutes{5, "five", {"b1"}, 0}).empty());
+  CHECK(test.submit(ProposeRoutes{3, "three", {"b1"}, 0}).empty());
+  CHECK(test.submit(ProposeRoutes{5, "five", {"b1"}, 0}).empty());
   CHECK(routes.last_refusal == "version 3 aborted: replaced by version 5");
-  CHECK(book.by(ProposeRoutes{4, "four", {"b1"}, 0}) == "version 4 is not above 5");
-  CHECK(book.by(AbortRoutes{5, "time-out"}).empty());
+  CHECK(test.submit(ProposeRoutes{4, "four", {"b1"}, 0}) == "version 4 is not above 5");
+  CHECK(test.submit(AbortRoutes{5, "time-out"}).empty());
   CHECK(routes.last_refusal == "version 5 aborted: time-out");
-  CHECK(book.by(ProposeRoutes{6, std::string(kMaxRouteTableBytes + 1, 'x'), {"b1"}, 0}) ==
+  CHECK(test.submit(ProposeRoutes{6, std::string(kMaxRouteTableBytes + 1, 'x'), {"b1"}, 0}) ==
         "version 6 is over 262144 bytes");
 }
 
-TEST_CASE("slices leave the balance, return, lapse, and are found") {
-  Book book;
-  Wallet& wallet = book.ledger.wallets["w"];
-  CHECK(book.by(Deposit{"w", "d", -1}) == "amount is negative or over 2^53");
-  CHECK(book.by(Deposit{"w", "d", kMaxUnits + 1}) == "amount is negative or over 2^53");
-  CHECK(book.by(Deposit{"w", "d", 80}).empty());
-  CHECK(book.by(Deposit{"w", "e", kMaxUnits}) == "wallet would be over 2^53");
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}).empty());
+TEST_CASE("slices reduce the balance, are returned, lapse, and are reported") {
+  TestLedger test;
+  Wallet& wallet = test.ledger.wallets["w"];
+  CHECK(test.submit(Deposit{"w", "d", -1}) == "amount is negative or over 2^53");
+  CHECK(test.submit(Deposit{"w", "d", kMaxUnits + 1}) == "amount is negative or over 2^53");
+  CHECK(test.submit(Deposit{"w", "d", 80}).empty());
+  CHECK(test.submit(Deposit{"w", "e", kMaxUnits}) == "wallet would be over 2^53");
+  CHECK(test.submit(TakeSlice{"w", "s1", "b1", 1, 50, 9}).empty());
   CHECK(wallet.out["s1"].amount == 10);
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9}) == "slice s1 already exists");
-  CHECK(book.by(TakeSlice{"w", "s2", "b2", 1, 3, 9}).empty());
-  CHECK(book.by(ReturnSlice{"w", "s1", 11}) == "spent is negative or over the amount of the slice");
-  CHECK(book.by(ReturnSlice{"w", "s1", 4}).empty());
-  CHECK(book.by(ReturnSlice{"w", "s1", 4}) == "slice s1 is not open");
+  CHECK(test.submit(TakeSlice{"w", "s1", "b1", 1, 50, 9}) == "slice s1 already exists");
+  CHECK(test.submit(TakeSlice{"w", "s2", "b2", 1, 3, 9}).empty());
+  CHECK(test.submit(ReturnSlice{"w", "s1", 11}) == "spent is negative or over the amount of the slice");
+  CHECK(test.submit(ReturnSlice{"w", "s1", 4}).empty());
+  CHECK(test.submit(ReturnSlice{"w", "s1", 4}) == "slice s1 is not open");
   CHECK(wallet.balance == 73);
-  CHECK(book.by(ReportSpent{"w", "s2", 1}, "b2", 1) ==
+  CHECK(test.submit(ReportSpent{"w", "s2", 1}, "b2", 1) ==
         "slice s2 is not of an earlier incarnation of the sender");
-  CHECK(book.by(LapseSlice{"w", "s2"}).empty());
+  CHECK(test.submit(LapseSlice{"w", "s2"}).empty());
   CHECK(wallet.spent == 7);
-  CHECK(book.by(ReturnSlice{"w", "s2", 1}) == "slice s2 is not open");
-  CHECK(book.by(ReportSpent{"w", "s2", 1}).empty());
+  CHECK(test.submit(ReturnSlice{"w", "s2", 1}) == "slice s2 is not open");
+  CHECK(test.submit(ReportSpent{"w", "s2", 1}).empty());
   CHECK(wallet.spent == 5);
   CHECK(wallet.balance == 75);
-  book.by(TakeSlice{"w", "s3", "b3", 1, 3, 9});
-  CHECK(book.by(ReportSpent{"w", "s3", 2}, "b3", 2).empty());
+  test.submit(TakeSlice{"w", "s3", "b3", 1, 3, 9});
+  CHECK(test.submit(ReportSpent{"w", "s3", 2}, "b3", 2).empty());
   CHECK(wallet.spent == 7);
 }
 
-TEST_CASE("a slice holds a whole call, or nothing is taken") {
-  Book book;
-  Wallet& wallet = book.ledger.wallets["w"];
-  book.by(Deposit{"w", "d", 130});
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9, 51}) ==
+TEST_CASE("a slice is a multiple of the price of a call") {
+  TestLedger test;
+  Wallet& wallet = test.ledger.wallets["w"];
+  test.submit(Deposit{"w", "d", 130});
+  CHECK(test.submit(TakeSlice{"w", "s1", "b1", 1, 50, 9, 51}) ==
         "the minimum is negative or over the requested amount");
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 50, 9, -1}) ==
+  CHECK(test.submit(TakeSlice{"w", "s1", "b1", 1, 50, 9, -1}) ==
         "the minimum is negative or over the requested amount");
-  CHECK(book.by(TakeSlice{"w", "s1", "b1", 1, 80, 9, 50}).empty());
+  CHECK(test.submit(TakeSlice{"w", "s1", "b1", 1, 80, 9, 50}).empty());
   CHECK(wallet.out["s1"].amount == 50);
-  CHECK(book.by(TakeSlice{"w", "s2", "b2", 1, 50, 9, 50}).empty());
-  CHECK(book.by(TakeSlice{"w", "s3", "b3", 1, 50, 9, 50}) == "wallet w has less than the price of a call");
+  CHECK(test.submit(TakeSlice{"w", "s2", "b2", 1, 50, 9, 50}).empty());
+  CHECK(test.submit(TakeSlice{"w", "s3", "b3", 1, 50, 9, 50}) ==
+        "wallet w has less than the price of a call");
   CHECK(wallet.balance == 30);
-  CHECK(book.by(TakeSlice{"w", "s3", "b3", 1, 50, 9}).empty());
+  CHECK(test.submit(TakeSlice{"w", "s3", "b3", 1, 50, 9}).empty());
   CHECK(wallet.out["s3"].amount == 3);
 }
 
-TEST_CASE("the last units go to all that ask, and sums hold under random commands") {
-  Book book;
-  book.by(Deposit{"w", "d", 50});
-  for (int turn = 0; turn < 30; ++turn)
+TEST_CASE("the last units are spread over all holders, and sums match under random commands") {
+  TestLedger test;
+  test.submit(Deposit{"w", "d", 50});
+  for (int round = 0; round < 30; ++round)
     for (int b = 0; b < 9; ++b)
-      book.by(TakeSlice{"w", std::to_string(turn * 9 + b), "b" + std::to_string(b), 1, 100, 9});
-  CHECK(book.ledger.wallets["w"].balance == 0);
-  std::map<std::string, std::int64_t> got;
-  for (const auto& [name, slice] : book.ledger.wallets["w"].out) got[slice.holder] += slice.amount;
-  CHECK(got.size() == 9);
-  for (const auto& [name, sum] : got) CHECK(sum <= 12);
+      test.submit(TakeSlice{"w", std::to_string(round * 9 + b), "b" + std::to_string(b), 1, 100, 9});
+  CHECK(test.ledger.wallets["w"].balance == 0);
+  std::map<std::string, std::int64_t> amounts;
+  for (const auto& [name, slice] : test.ledger.wallets["w"].out) amounts[slice.holder] += slice.amount;
+  CHECK(amounts.size() == 9);
+  for (const auto& [name, sum] : amounts) CHECK(sum <= 12);
   std::mt19937_64 random(7);
-  for (int step = 0; step < 20000; ++step) {  // apply() itself throws where the sums are off
+  for (int step = 0; step < 20000; ++step) {  // apply() reports a violated invariant if the sums do not match
     const std::string slice = std::to_string(random() % 40), wallet = "w" + std::to_string(random() % 2);
     const auto amount = static_cast<std::int64_t>(random() % 20) - 2;
     switch (random() % 5) {
       case 0:
-        book.by(Deposit{wallet, std::to_string(random() % 500), amount});
+        test.submit(Deposit{wallet, std::to_string(random() % 500), amount});
         break;
       case 1:
-        book.by(TakeSlice{wallet, slice, "b", random() % 3, amount, 0, amount - 2 * (step % 2)});
+        test.submit(TakeSlice{wallet, slice, "b", random() % 3, amount, 0, amount - 2 * (step % 2)});
         break;
       case 2:
-        book.by(ReturnSlice{wallet, slice, amount});
+        test.submit(ReturnSlice{wallet, slice, amount});
         break;
       case 3:
-        book.by(LapseSlice{wallet, slice});
+        test.submit(LapseSlice{wallet, slice});
         break;
       default:
-        book.by(ReportSpent{wallet, slice, amount}, "b", 3);
+        test.submit(ReportSpent{wallet, slice, amount}, "b", 3);
     }
   }
-  CHECK(book.ledger.wallets["w0"].paid > 0);
+  CHECK(test.ledger.wallets["w0"].paid > 0);
 }
 
-TEST_CASE("voters change by one name") {
-  Book book;
-  CHECK(book.by(ChangeVoters{{"c", "a", "b"}}).empty());
-  CHECK(book.ledger.voters == std::vector<std::string>{"a", "b", "c"});
-  CHECK_FALSE(book.by(ChangeVoters{{"a", "b", "d"}}).empty());
-  CHECK_FALSE(book.by(ChangeVoters{{"a", "b", "b"}}).empty());
-  CHECK(book.by(ChangeVoters{{"a", "b"}}).empty());
-  CHECK(book.by(ChangeVoters{{"a", "b", "d"}}).empty());
+TEST_CASE("voters change by one name at a time") {
+  TestLedger test;
+  CHECK(test.submit(ChangeVoters{{"c", "a", "b"}}).empty());
+  CHECK(test.ledger.voters == std::vector<std::string>{"a", "b", "c"});
+  CHECK_FALSE(test.submit(ChangeVoters{{"a", "b", "d"}}).empty());
+  CHECK_FALSE(test.submit(ChangeVoters{{"a", "b", "b"}}).empty());
+  CHECK(test.submit(ChangeVoters{{"a", "b"}}).empty());
+  CHECK(test.submit(ChangeVoters{{"a", "b", "d"}}).empty());
 }
 
-TEST_CASE("every command and a ledger come back from their octets; cut or flipped ones do not") {
+TEST_CASE(
+    "commands and ledgers are decoded as they were encoded; truncated or corrupted ones are not decoded") {
   const std::vector<Body> bodies{ProposeRoutes{3, "t", {"a", "b"}, 7},
                                  AnswerRoutes{3, "a", "no", true},
                                  ActivateRoutes{3, 9},
@@ -190,21 +193,21 @@
   std::uint64_t number = 0;
   for (const Body& body : bodies) {
     const Command command{{"a", 4, ++number}, body};
-    const std::string octets = encode(command);
+    const std::string encoded = encode(command);
     Command back;
-    REQUIRE(decode(octets, back));
+    REQUIRE(decode(encoded, back));
     CHECK(back.id == command.id);
     CHECK(back.body.index() == body.index());
-    CHECK(encode(back) == octets);
+    CHECK(encode(back) == encoded);
     Ledger by_original = ledger, by_copy = ledger;
     CHECK(apply(by_original, number, command) == apply(by_copy, number, back));
     CHECK(digest(by_original) == digest(by_copy));
     ledger = by_original;
-    for (std::size_t at = 0; at < octets.size(); ++at) {
-      std::string flipped = octets;
-      flipped[at] = static_cast<char>(flipped[at] ^ (1 << (at % 8)));
-      CHECK_FALSE(decode(flipped, back));
-      CHECK_FALSE(decode(std::string_view(octets).substr(0, at), back));
+    for (std::size_t at = 0; at < encoded.size(); ++at) {
+      std::string corrupted = encoded;
+      corrupted[at] = static_cast<char>(corrupted[at] ^ (1 << (at % 8)));
+      CHECK_FALSE(decode(corrupted, back));
+      CHECK_FALSE(decode(std::string_view(encoded).substr(0, at), back));
     }
   }
   ledger.wallets["w"].out["s9"] = {"h", 2, 3, 4};
--- a/tests/fleet/record/deposits.h
+++ b/tests/fleet/record/deposits.h
@@ -1,4 +1,4 @@
-// Commands that tests of the record propose.
+/// Commands that tests of the record propose.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 
 namespace marblehub::fleet {
 
+/// A deposit to the wallet "w" with the given id.
 inline Body deposit(int id, std::int64_t amount = 1) {
   Deposit body;
   body.wallet = "w";
--- a/tests/fleet/record/disk_test.cpp
+++ b/tests/fleet/record/disk_test.cpp
@@ -1,4 +1,4 @@
-// Both disks by the same contract, and what a real file may suffer.
+// MemoryDisk and LmdbDisk have the same contract; LmdbDisk detects faults of its file.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -15,6 +15,7 @@
 
 namespace {
 
+/// A temporary folder.
 struct Folder {
   Folder() {
     char name[] = "/tmp/marblehub-record-XXXXXX";
@@ -24,7 +25,7 @@
   std::string path;
 };
 
-void same(const Disk::Contents& a, const Disk::Contents& b) {
+void check_equal(const Disk::Contents& a, const Disk::Contents& b) {
   CHECK(a.empty == b.empty);
   CHECK(a.voting.term == b.voting.term);
   CHECK(a.voting.voted_for == b.voting.voted_for);
@@ -43,28 +44,29 @@
 
 }  // namespace
 
-TEST_CASE("the file holds what the map holds, through random calls and reopening") {
+TEST_CASE("LmdbDisk and MemoryDisk hold the same after random calls and reopening") {
   Folder folder;
   auto disk = std::make_unique<LmdbDisk>(folder.path);
-  MemoryDisk map;
+  MemoryDisk memory;
   CHECK(disk->load().empty);
   std::mt19937_64 random(3);
   std::uint64_t last = 0, base = 0, term = 1;
   for (int step = 0; step < 120; ++step) {
     switch (random() % 4) {
       case 0: {
-        const Disk::VotingState kept{++term, "v" + std::to_string(random() % 3), random() % 2 == 0,
-                                     random() % 9};
-        CHECK(disk->store_voting_state(kept) == map.store_voting_state(kept));
+        const Disk::VotingState voting{++term, "v" + std::to_string(random() % 3), random() % 2 == 0,
+                                       random() % 9};
+        CHECK(disk->store_voting_state(voting) == memory.store_voting_state(voting));
         break;
       }
       case 1:
         if (last > base) {
           base += 1 + random() % (last - base);
-          const std::uint64_t of = random() % 4 == 0 ? 99 : 1;
+          const std::uint64_t snapshot_term = random() % 4 == 0 ? 99 : 1;
           const std::string ledger(random() % 9000, 'l');
-          CHECK(disk->store_snapshot(base, of, ledger) == map.store_snapshot(base, of, ledger));
-          last = map.contents().entries.empty() ? base : map.contents().entries.back().index;
+          CHECK(disk->store_snapshot(base, snapshot_term, ledger) ==
+                memory.store_snapshot(base, snapshot_term, ledger));
+          last = memory.contents().entries.empty() ? base : memory.contents().entries.back().index;
         }
         break;
       default: {
@@ -72,7 +74,7 @@
         std::uint64_t index = last > base ? base + 1 + random() % (last - base + 1) : last + 1;
         for (int i = 0; i < 3; ++i, ++index)
           entries.push_back({index, 1 + random() % 2 * 98, std::string(random() % 5000, 'c')});
-        CHECK(disk->append(entries) == map.append(entries));
+        CHECK(disk->append(entries) == memory.append(entries));
         last = index - 1;
       }
     }
@@ -80,11 +82,11 @@
       disk.reset();
       disk = std::make_unique<LmdbDisk>(folder.path);
     }
-    same(disk->load(), map.load());
+    check_equal(disk->load(), memory.load());
   }
 }
 
-TEST_CASE("a flipped octet is refused with file and offset") {
+TEST_CASE("a corrupted byte is reported with file and offset") {
   Folder folder;
   const std::string command = "the command that is flipped";
   {
@@ -92,9 +94,9 @@
     REQUIRE(disk.append({{1, 1, "first"}, {2, 1, command}, {3, 1, std::string(9000, 'x')}}));
   }
   std::fstream file(folder.path + "/record.mdb", std::ios::in | std::ios::out | std::ios::binary);
-  std::string octets((std::istreambuf_iterator<char>(file)), {});
+  std::string contents((std::istreambuf_iterator<char>(file)), {});
   for (const std::string& what : {command, std::string(9000, 'x')}) {
-    const std::size_t at = octets.rfind(what);
+    const std::size_t at = contents.rfind(what);
     REQUIRE(at != std::string::npos);
     file.clear();
     file.seekp(static_cast<std::streamoff>(at + 4));
@@ -105,7 +107,7 @@
     } catch (const std::runtime_error& error) {
       why = error.what();
     }
-    // A record begins with its term, eight octets before the command.
+    // A record begins with its term, eight bytes before the command.
     CHECK(why == "record: " + folder.path + "/record.mdb at offset " + std::to_string(at - 8) +
                      ": a record is corrupted");
     file.seekp(static_cast<std::streamoff>(at + 4));
@@ -114,7 +116,7 @@
   CHECK(LmdbDisk(folder.path).load().entries.size() == 3);
 }
 
-TEST_CASE("a full disk keeps what was there, a folder that cannot be used is refused plainly") {
+TEST_CASE("a full disk keeps its contents, and an unusable folder is reported") {
   Folder folder;
   {
     LmdbDisk disk(folder.path, 256 * 1024);
@@ -129,7 +131,7 @@
   CHECK_THROWS_WITH(
       LmdbDisk(folder.path + "/none"),
       "record: " + folder.path + "/none/record.lock cannot be opened: No such file or directory");
-  if (geteuid() != 0) {  // root writes everywhere
+  if (geteuid() != 0) {  // root may write everywhere
     fs::permissions(folder.path, fs::perms::owner_read | fs::perms::owner_exec);
     fs::remove(folder.path + "/record.lock");
     CHECK_THROWS(LmdbDisk(folder.path));
