--- a/tests/fleet/wallet/on_record_test.cpp
+++ b/tests/fleet/wallet/on_record_test.cpp
@@ -26,7 +26,7 @@
         Outbox out;
         own->step(cluster.now, *member.record, cluster.names, out);
         cluster.post(name, out);
-        if (cluster.chance() >= share) continue;
+        if (cluster.uniform() >= share) continue;
         Reservation call;
         if (own->reserve(cluster.now, "partner", "", call) != ReserveResult::reserved) continue;
         own->commit(call);
