--- a/tests/fleet/spin/second.pml
+++ b/tests/fleet/spin/second.pml
@@ -1,10 +1,10 @@
-/* Two activations, the second as soon as it may come: k, then k+1, then k+2 (docs/fleet-as-one.md, "Routes"). What
-   activation.pml shows of one change of leader is taken for granted here: the record is one sequence, and either of two
-   leaders, one ahead of the other by BOUND, may say the next thing at any time. Grants are a set of what was ever sent,
-   of each kind the newest; a holder may have heard any of them, however late, and may sleep at every step.
+/* Two consecutive activations, the second as early as possible: k, then k+1, then k+2 (docs/fleet-as-one.md, "Routes").
+   The properties that activation.pml checks are assumed: the log is one sequence, and either of two leaders, whose clocks
+   differ by BOUND, may take the next step at any time. Grants are the set of all that were ever sent, the newest of each
+   kind; a holder may have received any of them, however late, and may pause at every step.
 
-   Held: no holder places by an older version later than BOUND after one placed by a newer. Each macro named M_... takes
-   one rule away, and the check must then fail. */
+   Property: no holder places by an older version later than BOUND after the first placed by a newer one. Each macro M_...
+   removes one rule, and the check must then fail. */
 #define BOUND 1
 #define LEASE 3
 #define END 20
@@ -12,17 +12,17 @@
 
 byte now;
 byte in_force;            /* versions above k: 0, 1, 2 */
-byte next, moment;        /* of the activation that is not settled; next 0: none */
+byte next, moment;        /* of the activation that is not complete; next 0: none */
 byte settled_moment;      /* of in_force */
 byte plain_until[3];      /* leases on a version alone */
-byte until[3], turn[3];   /* leases on a version and the next; turn: the moment of the next, 0: never sent */
-byte base[3];             /* the version that stood under it */
-byte first[3] = NONE;     /* when a version was first placed by */
+byte until[3], turn[3];   /* leases on a version and the next; turn: activation time of the next, 0: never sent */
+byte base[3];             /* the version before the next */
+byte first[3] = NONE;     /* when a holder first placed by a version */
 
 hidden byte c, h, v, o;
 hidden byte may[3];
 
-#ifdef M_TERMLESS /* a grant with its moment in it is used without an end */
+#ifdef M_TERMLESS /* a grant with an activation time has no end */
 #define live(i) 1
 #define KEPT 0
 #else
@@ -30,12 +30,12 @@
 #define live(i) (c + BOUND < until[i])
 #endif
 
-#ifdef M_NO_WAIT /* the moment does not wait for leases on the version before */
+#ifdef M_NO_WAIT /* the activation time does not wait for leases on the previous version */
 #define WAIT 1
 #else
 #define WAIT (LEASE + 2 * BOUND)
 #endif
-#ifdef M_SETTLED_AT_ONCE /* the next is in force, and granted alone, before its moment */
+#ifdef M_SETTLED_AT_ONCE /* the next version is in force, and granted alone, before its activation time */
 #define over(c, m) 1
 #else
 #define over(c, m) (c >= m + BOUND)
@@ -66,7 +66,7 @@
       fi
     }
   }
-  /* What is long over is forgotten, so that states which differ in nothing else are one */
+  /* Values that have expired are reset, so that equivalent states are merged */
   for (v : 0 .. 2) {
     if
     :: first[v] != NONE && now > first[v] + BOUND -> first[v] = 0
@@ -93,7 +93,7 @@
   :: d_step { next == 0 && in_force < 2 ->
        next = in_force + 1;
        moment = cl + WAIT }
-#ifdef M_UNSETTLED /* an activation is taken while the moment of the one before is not over */
+#ifdef M_UNSETTLED /* an activation is accepted while the previous one is not complete */
   :: d_step { next == 1 -> next = 2; moment = cl + WAIT }
 #endif
   :: d_step { next != 0 && over(cl, moment) -> in_force = next; settled_moment = moment; next = 0; moment = 0 }
--- a/tests/fleet/spin/wallet.pml
+++ b/tests/fleet/spin/wallet.pml
@@ -1,37 +1,37 @@
-/* A prepaid wallet in slices with a term (docs/fleet-as-one.md, "Wallet"). Three processes: A (0), a later process of
-   A's name (1) that may start while A only sleeps, and B (2). Every command that was ever sent may reach the record
-   at any later time, any number of times, or never; what the record says may be heard at any later time. Nothing is
-   urgent, so every process may sleep at every step, and one that dies is one that takes no further step. Clocks are off by 0 or BOUND.
+/* A prepaid wallet with slices that have a term (docs/fleet-as-one.md, "Wallet"). Three processes: A (0), a later process
+   with A's name (1) that may start while A is only paused, and B (2). Every command ever sent may reach the log at any
+   later time, any number of times, or never; a process may learn of its result at any later time. Every process may pause
+   at every step; a crashed process takes no further step. The error of each clock is 0 or BOUND.
 
-   Held: what workers served is at most what was paid; paid = balance + out + spent after every command. Each macro
-   named M_... takes one rule away, and the check must then fail. */
+   Properties: workers serve at most what was paid; paid = balance + out + spent after every command. Each macro M_...
+   removes one rule, and the check must then fail. */
 #define BOUND 1
 #define TERM 3
 #define END 4
 #ifndef PAID
 #define PAID 2
 #endif
-#define SLICE 2 /* in one: this or 1 */
+#define SLICE 2 /* units in a slice: this or 1 */
 
 byte now;
 bit off_leader, off[3];
 
-/* -- the record */
+/* the record */
 bit deposited;
 byte paid, balance, spent_all;
-byte slice[3];  /* of each process one: 0 none, 1 out, 2 returned, 3 lapsed, 4 found */
+byte slice[3];  /* one for each process: 0 none, 1 open, 2 returned, 3 lapsed, 4 reported from the journal */
 byte amount[3], term_end[3];
 
-/* -- sent, each plus 1; 0: never */
+/* commands sent, each value plus 1; 0: never */
 byte takes[3], returns[3], found[3];
 
-/* -- processes */
+/* processes */
 bit started[3], open[3], closed[3];
-bit attempt[3];            /* a unit is reserved and no UP has come yet */
+bit attempt[3];            /* a unit is reserved and no UP was received yet */
 byte spent[3];
-byte journal[3];           /* of each slice, on disk: at least what was spent */
+byte journal[3];           /* of each slice, on disk: at least the units spent */
 #ifdef M_FOUND_EARLY
-byte early; /* what the later process read of A's line when it started */
+byte early; /* what the later process read from A's line when it started */
 #endif
 byte served;
 
@@ -46,24 +46,24 @@
 
 inline process(p) {
   if
-  /* asks for a slice, until its clock's now + TERM */
+  /* requests a slice until now + TERM by its clock */
   :: d_step { started[p] && takes[p] == 0 -> takes[p] = now + off[p] + TERM + 1 }
-  /* hears that it has it, however late */
+  /* learns that it has the slice, however late */
   :: d_step { !open[p] && !closed[p] && slice[p] == 1 -> open[p] = 1 }
-  /* reserves, in its journal before the attempt */
+  /* reserves a unit, and writes that to its journal before the attempt */
   :: d_step {
        open[p] && !attempt[p] && spent[p] < amount[p] && in_term(p) -> attempt[p] = 1;
 #ifndef M_JOURNAL_LAGS
        journal[p] = spent[p] + 1
 #endif
      }
-  /* UP, which may come after the term; or none came */
+  /* UP, which may arrive after the term; or no UP arrived */
   :: d_step { attempt[p] -> served++; assert(served <= PAID); spent[p]++; attempt[p] = 0 }
   :: d_step { attempt[p] -> attempt[p] = 0 }
-#ifdef M_JOURNAL_LAGS /* written when there is time for it */
+#ifdef M_JOURNAL_LAGS /* written at some later time */
   :: d_step { journal[p] < spent[p] -> journal[p] = spent[p] }
 #endif
-  /* gives back; an attempt on its way counts as spent, and nothing more is spent of it */
+  /* returns the slice; a running attempt counts as spent, and nothing more is spent of the slice */
   :: d_step { open[p] && returns[p] == 0 ->
 #ifdef M_RETURN_ATTEMPT
        returns[p] = spent[p] + 1;
@@ -84,15 +84,15 @@
 #endif
 #define grant(s, units) slice[s] = 1; amount[s] = units; balance = balance - amount[s]; term_end[s] = takes[s] - 1; whole
 
-/* The record applies what comes; the same command of the same number counts once. */
+/* The record applies commands in order of arrival; duplicates of a command count once. */
 inline commands(s) {
   if
-#ifdef ANY_GRANT /* a share or a call's price: the promise rests on neither; four times the states */
+#ifdef ANY_GRANT /* any amount: the properties do not depend on it; four times the number of states */
   :: d_step { may_take(s) -> grant(s, 1) }
 #else
   :: d_step { may_take(s) && balance < SLICE -> grant(s, 1) }
 #endif
-#ifdef M_GRANT_OVER /* the call's price, though the balance is less */
+#ifdef M_GRANT_OVER /* the price of a call, though the balance is lower */
   :: d_step { may_take(s) -> grant(s, SLICE) }
 #else
   :: d_step { may_take(s) && balance >= SLICE -> grant(s, SLICE) }
@@ -100,7 +100,7 @@
   :: d_step { returns[s] != 0 && slice[s] == 1 && returns[s] - 1 <= amount[s] ->
        slice[s] = 2; balance = balance + amount[s] - (returns[s] - 1);
        spent_all = spent_all + returns[s] - 1; whole }
-  /* the leader, by its clock, once the holder is out of the view */
+  /* the leader lapses a slice by its clock, once the holder has left the view */
 #ifdef M_LAPSE_EARLY
   :: d_step { slice[s] == 1 ->
 #else
@@ -120,7 +120,7 @@
 init {
   byte i;
   select(i : 0 .. 1); off_leader = i;
-  select(i : 0 .. 1); off[0] = i; off[1] = i; /* one machine's clock; B has the leader's */
+  select(i : 0 .. 1); off[0] = i; off[1] = i; /* processes 0 and 1 share a clock; B has that of the leader */
   off[2] = off_leader;
   i = 0;
   started[0] = 1; started[2] = 1;
@@ -137,8 +137,8 @@
   :: commands(0)
   :: commands(1)
   :: commands(2)
-  /* A's name starts anew, with A dead or asleep, and says what A's journal says once the slice has lapsed */
-#ifdef M_FOUND_EARLY /* as it read that line at its start, when A could still wake within the term */
+  /* A later process with A's name starts, with A crashed or paused, and reports A's journal once the slice has lapsed */
+#ifdef M_FOUND_EARLY /* reports the line as read at its start, when A could still resume within the term */
   :: d_step { !started[1] -> started[1] = 1; early = journal[0] }
   :: d_step { started[1] && slice[0] == 3 && found[0] == 0 -> found[0] = early + 1 }
 #else
