--- a/src/fleet/routes/lease.cpp
+++ b/src/fleet/routes/lease.cpp
@@ -42,10 +42,11 @@
   if (grant_ && grant.until == latest_until_ && grant.version == grant_->version &&
       grant.next == grant_->next)
     return;
-  if (grant_ && std::max(grant.version, grant.next) < std::max(grant_->version, grant_->next)) return;  // old
+  // A delayed grant of an older version.
+  if (grant_ && std::max(grant.version, grant.next) < std::max(grant_->version, grant_->next)) return;
   bool newer = grant.until > latest_until_ || stepped_back_;
   latest_until_ = grant.until;
-  // Granted for `lease` at most by a clock at most `bound` ahead of this one, and some time ago.
+  // A grant lasts `lease` at most by the leader's clock, which is at most `bound` ahead of this one.
   behind_ = grant.until - lease_ > now + bound_;
   if (behind_) return;
   if (stepped_back_ && newer) {
@@ -60,17 +61,17 @@
     stepped_back_ = true;
     clock_monitor_.reset();
   }
-  if (!grant_) return {false, 0, "has not heard which version is in force"};
-  // A step back within the bound: the later of the two moments, at which less is allowed.
+  if (!grant_) return {false, 0, "no grant has been received yet"};
+  // After a step back within the bound the later of the two times applies, which is the stricter one.
   const Time at = stepped_back_ ? now : latest_time_ = std::max(latest_time_, now);
   const Grant& g = *grant_;
   const std::uint64_t version = g.next != 0 && at >= g.activation_time ? g.next : g.version;
   Decision decision{false, std::max(version, newest_version_), ""};
-  // A leader grants to itself: after a step that says nothing until another's clock is heard.
+  // A leader's grant to itself proves nothing after a step back until a peer's clock has been observed.
   if (stepped_back_ || clock_monitor_.peers_missing())
-    decision.why = "the clock went back";
+    decision.why = "the clock stepped back";
   else if (version < newest_version_)
-    decision.why = "the clock is before the moment of a version that it held";
+    decision.why = "the clock is before the activation time of a version already used";
   else if (clock_off())
     decision.why = "the clock is off by more than the bound";
   else if (at >= g.until - bound_)
