--- a/src/fleet/routes/matcher.cpp
+++ b/src/fleet/routes/matcher.cpp
@@ -12,7 +12,7 @@
   };
   for (std::size_t i = 0; i < table.rules.size(); ++i) {
     const Rule& rule = table.rules[i];
-    add(rule, i);
+    add_rule(rule, i);
     routes_.push_back({table.version, bits(rule.pool, 0), bits(rule.fallback, 0)});
   }
   routes_.push_back(
@@ -25,21 +25,21 @@
   return key;
 }
 
-Matcher::Ids Matcher::learn(const Rule& rule) {
-  const std::string* words[3] = {&rule.service_class, &rule.tenant, &rule.area};
+Matcher::Ids Matcher::intern(const Rule& rule) {
+  const std::string* values[3] = {&rule.service_class, &rule.tenant, &rule.area};
   Ids ids{};
   for (std::size_t kind = 0; kind < 3; ++kind)
-    if (!words[kind]->empty())
-      ids[kind] = names_[kind].emplace(*words[kind], names_[kind].size() + 1).first->second;
+    if (!values[kind]->empty())
+      ids[kind] = name_ids_[kind].emplace(*values[kind], name_ids_[kind].size() + 1).first->second;
   return ids;
 }
 
-void Matcher::add(const Rule& rule, std::size_t index) { rules_.emplace(key(learn(rule), 7), index); }
+void Matcher::add_rule(const Rule& rule, std::size_t index) { rules_.emplace(key(intern(rule), 7), index); }
 
-std::size_t Matcher::first(const Ids& ids) const {
+std::size_t Matcher::first_match(const Ids& ids) const {
   std::size_t best = rules_.size();
   for (unsigned named = 0; named < 8; ++named) {
-    bool known = true;  // a name that no rule has is met by the rules that ask for none
+    bool known = true;  // a call's unknown name matches only rules that leave it open
     for (std::size_t kind = 0; kind < 3; ++kind) known &= !(named >> kind & 1) || ids[kind] != 0;
     if (!known) continue;
     auto it = rules_.find(key(ids, named));
@@ -49,26 +49,26 @@
 }
 
 Route Matcher::route(std::string_view service_class, std::string_view tenant, std::string_view area) const {
-  const std::string_view words[3] = {service_class, tenant, area};
+  const std::string_view values[3] = {service_class, tenant, area};
   Ids ids{};
   for (std::size_t kind = 0; kind < 3; ++kind) {
-    auto it = words[kind].empty() ? names_[kind].end() : names_[kind].find(words[kind]);
-    if (it != names_[kind].end()) ids[kind] = it->second;
+    auto it = values[kind].empty() ? name_ids_[kind].end() : name_ids_[kind].find(values[kind]);
+    if (it != name_ids_[kind].end()) ids[kind] = it->second;
   }
-  return routes_[std::min(first(ids), routes_.size() - 1)];
+  return routes_[std::min(first_match(ids), routes_.size() - 1)];
 }
 
-// A rule that an earlier one covers would never be met: the same area twice, or one after a rule for all.
+// Such a rule would never apply: the same area twice, or any rule after one that matches every call.
 void reject_shadowed_rules(const Table& table, const config::Options& place) {
   Matcher seen{Table{}};
   for (std::size_t i = 0; i < table.rules.size(); ++i) {
     const Rule& rule = table.rules[i];
-    std::size_t earlier = seen.first(seen.learn(rule));
+    std::size_t earlier = seen.first_match(seen.intern(rule));
     const char* key = !rule.area.empty() ? "area" : !rule.tenant.empty() ? "tenant" : "class";
     if (earlier < i)
       place.refuse("rules." + std::to_string(i) + '.' + key,
                    "what no earlier rule takes; rules." + std::to_string(earlier) + " fits all of it");
-    seen.add(rule, i);
+    seen.add_rule(rule, i);
   }
 }
 
--- a/src/fleet/routes/table.cpp
+++ b/src/fleet/routes/table.cpp
@@ -10,12 +10,12 @@
 
 using config::Options;
 
-std::string at(const char* list, std::size_t i, const char* key) {
+std::string key_at(const char* list, std::size_t i, const char* key) {
   return std::string(list) + '.' + std::to_string(i) + '.' + key;
 }
 
-// The decoder goes down by recursion: a document that nests deeper than any table is not begun.
-bool deep(std::string_view text) {
+// The JSON decoder recurses, so documents nested deeper than any valid table are refused before decoding.
+bool is_too_deep(std::string_view text) {
   int depth = 0;
   bool quoted = false;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -34,16 +34,16 @@
   return false;
 }
 
-std::string name_or(const Options& options, const std::string& key, bool needed) {
+std::string read_name(const Options& options, const std::string& key, bool required) {
   const std::string* text = options.find(key);
-  if (needed && (!text || text->empty())) options.refuse(key, "a name");
+  if (required && (!text || text->empty())) options.refuse(key, "a name");
   if (!text) return {};
   if (text->size() > kMaxNameBytes)
     options.refuse(key, "at most " + std::to_string(kMaxNameBytes) + " octets");
   return *text;
 }
 
-std::vector<std::string> names_or(const Options& options, const std::string& key) {
+std::vector<std::string> read_names(const Options& options, const std::string& key) {
   std::vector<std::string> names;
   const std::string* text = options.find(key);
   if (!text || text->empty()) return names;
@@ -60,16 +60,16 @@
   return names;
 }
 
-std::size_t count_of(const Options& options, const std::string& list, std::size_t most) {
-  // An empty list has no count.
+std::size_t read_count(const Options& options, const std::string& list, std::size_t max_count) {
+  // A list of objects is flattened to entries and a count, a list of values to text, an empty list to "".
   if (const std::string* text = options.find(list); text && !text->empty())
     options.refuse(list, "a list of objects");
   auto count = options.number_or<std::size_t>(list + ".count", 0, 0);
-  if (count > most) options.refuse(list, "at most " + std::to_string(most));
+  if (count > max_count) options.refuse(list, "at most " + std::to_string(max_count));
   return count;
 }
 
-bool among(const std::vector<std::string>& names, const std::string& name) {
+bool contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
@@ -83,31 +83,35 @@
   std::string place = file + ": ";
   if (text.size() > kMaxRouteTableBytes)
     throw config::DecodeError(place + "expected at most " + std::to_string(kMaxRouteTableBytes) + " octets");
-  if (deep(text)) throw config::DecodeError(place + "nested too deep for a table of routes");
+  if (is_too_deep(text)) throw config::DecodeError(place + "nested too deep for a table of routes");
   Options options = config::flatten(text, place);
   Table table;
   table.version = options.number<std::uint64_t>("version", 0);
   if (table.version >= std::uint64_t{1} << 53) options.refuse("version", "less than 2^53");
-  std::size_t pools = count_of(options, "pools", kMaxPools), rules = count_of(options, "rules", kMaxRules);
+  std::size_t pools = read_count(options, "pools", kMaxPools),
+              rules = read_count(options, "rules", kMaxRules);
   for (std::size_t i = 0; i < pools; ++i) {
-    Pool pool{name_or(options, at("pools", i, "name"), true), names_or(options, at("pools", i, "zones")),
-              names_or(options, at("pools", i, "types")), names_or(options, at("pools", i, "groups")),
-              names_or(options, at("pools", i, "workers"))};
+    Pool pool{read_name(options, key_at("pools", i, "name"), true),
+              read_names(options, key_at("pools", i, "zones")),
+              read_names(options, key_at("pools", i, "types")),
+              read_names(options, key_at("pools", i, "groups")),
+              read_names(options, key_at("pools", i, "workers"))};
     if (has_pool(table, pool.name))
-      options.refuse(at("pools", i, "name"), "a name not given to another pool");
+      options.refuse(key_at("pools", i, "name"), "a name not given to another pool");
     table.pools.push_back(std::move(pool));
   }
-  auto pool_at = [&](const std::string& key, bool needed) {
-    std::string name = name_or(options, key, needed);
+  auto pool_at = [&](const std::string& key, bool required) {
+    std::string name = read_name(options, key, required);
     if (!name.empty() && !has_pool(table, name))
       options.refuse(key, "one of the pools, not \"" + name + "\"");
     return name;
   };
   for (std::size_t i = 0; i < rules; ++i)
-    table.rules.push_back(
-        {name_or(options, at("rules", i, "class"), false), name_or(options, at("rules", i, "tenant"), false),
-         name_or(options, at("rules", i, "area"), false), pool_at(at("rules", i, "pool"), true),
-         pool_at(at("rules", i, "fallback"), false)});
+    table.rules.push_back({read_name(options, key_at("rules", i, "class"), false),
+                           read_name(options, key_at("rules", i, "tenant"), false),
+                           read_name(options, key_at("rules", i, "area"), false),
+                           pool_at(key_at("rules", i, "pool"), true),
+                           pool_at(key_at("rules", i, "fallback"), false)});
   table.otherwise = pool_at("otherwise", false);
   std::vector<std::string> unread = options.unread();
   if (!unread.empty()) options.refuse(unread.front(), "no such key");
@@ -123,10 +127,10 @@
     place.refuse("version", "above " + std::to_string(newest) + ", which is in force or recorded");
   for (std::size_t i = 0; i < table.rules.size(); ++i) {
     const Rule& rule = table.rules[i];
-    if (!rule.service_class.empty() && !among(calls.classes, rule.service_class))
-      place.refuse(at("rules", i, "class"), "a known class, not \"" + rule.service_class + "\"");
-    if (!rule.tenant.empty() && !calls.tenants.empty() && !among(calls.tenants, rule.tenant))
-      place.refuse(at("rules", i, "tenant"), "a known tenant, not \"" + rule.tenant + "\"");
+    if (!rule.service_class.empty() && !contains(calls.classes, rule.service_class))
+      place.refuse(key_at("rules", i, "class"), "a known class, not \"" + rule.service_class + "\"");
+    if (!rule.tenant.empty() && !calls.tenants.empty() && !contains(calls.tenants, rule.tenant))
+      place.refuse(key_at("rules", i, "tenant"), "a known tenant, not \"" + rule.tenant + "\"");
   }
   for (std::size_t i = 0; i < table.pools.size(); ++i) {
     const Pool& pool = table.pools[i];
@@ -140,7 +144,7 @@
 
 bool is_in_pool(const Pool& pool, const ListedWorker& worker) {
   auto fits = [](const std::vector<std::string>& names, const std::string& name) {
-    return names.empty() || among(names, name);
+    return names.empty() || contains(names, name);
   };
   return fits(pool.zones, worker.zone) && fits(pool.types, worker.type) && fits(pool.groups, worker.group) &&
          fits(pool.workers, worker.name);
