--- a/src/fleet/net/clock.cpp
+++ b/src/fleet/net/clock.cpp
@@ -31,7 +31,7 @@
   const std::string file = data + "/incarnation", next = file + ".next";
   std::uint64_t last = 0;
   if (std::ifstream in(file); in && !(in >> last))
-    throw StorageError(file + ": a number expected; if the folder's voter is new, take it away");
+    throw StorageError(file + ": expected a number; remove the file if this voter is new");
   incarnation = std::max(incarnation, last + 1);
   std::ofstream out(next);
   out << incarnation << '\n';
--- a/src/fleet/net/clock.h
+++ b/src/fleet/net/clock.h
@@ -1,4 +1,4 @@
-// The clock of the fleet, and numbers that grow from process to process.
+/// The clock of the fleet, and the incarnation numbers of its processes.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace marblehub::fleet {
 
-// A number for this process that is above that of every earlier one of its name: by the clock, and where
-// `data` names a folder also by what is kept there, for a clock that was put back. Throws
-// StorageError where the folder cannot be written.
+/// A number for this process that is above that of every earlier process of its name: the clock's, or one
+/// above the last number stored in the folder `data` if the clock was set back. Empty `data`: the clock
+/// alone. Throws StorageError if the folder cannot be read or written.
 std::uint64_t new_incarnation(const std::string& data, Time now);
 
-// The clock of the fleet: the loop's, and in test builds (MARBLEHUB_CHECKS) carried off by the microseconds
-// in MARBLEHUB_CLOCK_OFFSET_US, or by those in the file named by MARBLEHUB_CLOCK_FILE, read every 50 ms.
+/// The event loop's clock. Test builds (MARBLEHUB_CHECKS) add the offset in microseconds from
+/// MARBLEHUB_CLOCK_OFFSET_US, or from the file named by MARBLEHUB_CLOCK_FILE, which is read every 50 ms.
 Time fleet_clock(const net::Loop& loop);
 
 }  // namespace marblehub::fleet
--- a/src/fleet/net/driver.cpp
+++ b/src/fleet/net/driver.cpp
@@ -13,7 +13,7 @@
 namespace marblehub::fleet {
 namespace {
 
-constexpr int kMaxDatagramsPerRead = 64;  // then others on the loop have their turn
+constexpr int kMaxDatagramsPerRead = 64;  // then other events of the loop are handled
 constexpr int kSocketBuffer = 1 << 20;
 constexpr std::size_t kMaxObservedAddresses = 2048;
 constexpr Time kClockCheckInterval = 200 * kMillisecond;
@@ -46,11 +46,11 @@
     case MemberStatus::suspect:
       return "suspected";
     case MemberStatus::dead:
-      return "gone";
+      return "dead";
     case MemberStatus::left:
       break;
   }
-  return "no more there, it has left";
+  return "gone after leaving";
 }
 
 metrics::Metric& gauge(metrics::Registry& m, const char* name, const char* help) {
@@ -101,7 +101,8 @@
     throw std::runtime_error("fleet: listen: cannot bind " + settings_.listen + ": " + error.what());
   }
   node_ = std::make_unique<Node>(std::move(parts), now());
-  log::info("fleet: {} belongs to {}, reached at {}", settings_.name, settings_.fleet, settings_.advertise);
+  log::info("fleet: {} is a member of {}, advertised at {}", settings_.name, settings_.fleet,
+            settings_.advertise);
   udp_watch_.start(udp_.get(), EV_READ);
   apply_view_changes();
   tick_timer_.start(0);
@@ -130,7 +131,7 @@
     ssize_t n = ::recvfrom(udp_.get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (n < 0) continue;  // the word of an earlier one that was not taken
+    if (n < 0) continue;  // an ICMP error for a datagram sent earlier
     if (static_cast<std::size_t>(n) > kMaxDatagramBytes)
       count_drop("too_long");
     else
@@ -145,7 +146,7 @@
     count_drop(drop_reason_text(why));
     return false;
   }
-  // What verified but is not let in is no reason to end a stream: the next frame may be.
+  // A verified message that is dropped here does not end its stream: the next frame may be accepted.
   if (envelope->sender == settings_.name && envelope->incarnation == incarnation_) return true;
   Time arrived_at = now();
   if (auto refusal = sender_filter_.check(arrived_at, *envelope)) {
@@ -182,7 +183,7 @@
       continue;
     }
     Envelope envelope;
-    // In a rolling upgrade the elder's schema is spoken.
+    // During a rolling upgrade an older member is sent its own schema version.
     if (auto it = members.find(message.to); it != members.end())
       envelope.schema = std::clamp(it->second.schema, kOldestSchema, kNewestSchema);
     envelope.sender = settings_.name;
@@ -213,7 +214,8 @@
   applied_.set(static_cast<double>(node_->record().ledger().applied));
   if (auto conflict = node_->view().name_conflict(); conflict && !name_conflict_reported_) {
     name_conflict_reported_ = true;
-    log::error("fleet: another process is {} already, {}: this one must stop", settings_.name, *conflict);
+    log::error("fleet: another process already runs as {}, {}: this one must stop", settings_.name,
+               *conflict);
     if (on_name_conflict_) on_name_conflict_(*conflict);
   }
   if (Time at = now(); at - clock_checked_at_ >= kClockCheckInterval || at < clock_checked_at_) {
@@ -232,7 +234,8 @@
   Time due = node_->next_due();
   if (due == tick_due_ && tick_timer_.active()) return;
   tick_due_ = due;
-  tick_timer_.start(std::clamp<Time>(due - now(), 0, kSecond));  // at most a second, whatever the clock does
+  tick_timer_.start(
+      std::clamp<Time>(due - now(), 0, kSecond));  // at most one second, in case the clock jumps
 }
 
 void NodeDriver::apply_view_changes() {
--- a/src/fleet/net/driver.h
+++ b/src/fleet/net/driver.h
@@ -1,5 +1,4 @@
-// Drives a Node in service: one UDP socket and one TCP listener on Settings::listen, the seal, names to
-// addresses, the timer, and what main has to know. All on the loop's thread.
+/// Connects a Node to the event loop: sockets, timer, message envelopes and metrics.
 #pragma once
 
 #include <functional>
@@ -18,9 +17,12 @@
 
 namespace marblehub::fleet {
 
+/// Owns a Node and runs it on one UDP socket and one TCP listener at Settings::listen. Seals and opens
+/// messages, resolves members' names to addresses, and ticks the node when it is due. Used on the loop's
+/// thread alone.
 class NodeDriver {
  public:
-  // Throws std::runtime_error with the address where it cannot be bound. parts.settings must be enabled.
+  /// Throws std::runtime_error with the address if it cannot be bound. parts.settings must be enabled.
   NodeDriver(net::Loop& loop, NodeOptions parts, EnvelopeSealer sealer, metrics::Registry& metrics);
   ~NodeDriver();
   NodeDriver(const NodeDriver&) = delete;
@@ -29,16 +31,21 @@
   Time now() const { return fleet_clock(loop_); }
   const Settings& settings() const { return settings_; }
 
-  // Whatever main does with the node that may send goes through here, so that it is sent and the timer set.
+  /// Calls `act` with the node, then sends its messages and sets the timer. For all calls that fill an
+  /// Outbox.
   void with_node(const std::function<void(Node&, Time now, Outbox&)>& act);
-  void leave();  // at SIGTERM: others hear it at once. The driver still answers; destroy it when all is done
+  /// Announces that this balancer leaves, at SIGTERM. The driver still answers until it is destroyed.
+  void leave();
 
-  void on_step(std::function<void()> call) { on_step_ = std::move(call); }  // after every input of the node
-  // Another process of this name was there before: why this one must stop. Set once, and logged.
+  /// Sets the callback after each input of the node.
+  void on_step(std::function<void()> call) { on_step_ = std::move(call); }
+  /// Sets the callback for an older process of the same name, because of which this one must stop. Called at
+  /// most once, after the conflict is logged.
   void on_name_conflict(std::function<void(const std::string& why)> call) {
     on_name_conflict_ = std::move(call);
   }
-  bool clock_off() const { return clock_off_; }  // further than clock_bound from most: nothing by leases
+  /// Whether the clock differs by more than clock_bound from those of most members.
+  bool clock_off() const { return clock_off_; }
 
  private:
   void read_datagrams();
@@ -59,8 +66,8 @@
   net::IoWatch udp_watch_;
   net::TimerWatch tick_timer_;
   std::unique_ptr<PeerStreams> streams_;
-  std::map<std::string, sockaddr_in> observed_addresses_;  // of those the view has no address of yet
-  std::map<std::string, MemberStatus> statuses_;           // as it was told in the log
+  std::map<std::string, sockaddr_in> observed_addresses_;  // of senders that are not in the view yet
+  std::map<std::string, MemberStatus> statuses_;           // as last logged
   std::uint64_t generation_ = 0;
   Time tick_due_ = 0, clock_checked_at_ = 0;
   bool clock_off_ = false, name_conflict_reported_ = false, leaving_ = false;
--- a/src/fleet/net/peer_streams.cpp
+++ b/src/fleet/net/peer_streams.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-// Nothing is read from it: a peer answers on a stream of its own.
+// A stream to a peer. Nothing is read from it: the peer answers on a stream of its own.
 struct PeerStreams::OutgoingStream final : net::Stream::Handler {
   OutgoingStream(PeerStreams& o, Time now)
       : owner(o), stream(std::make_unique<net::Stream>(o.loop_, *this)), created_at(now), last_used(now) {}
@@ -37,7 +37,7 @@
   void received(std::string_view) override {}
   void drained() override { stalled_since = 0; }
   void ended(net::CloseKind ending) override {
-    if (stream->backlog() > 0) owner.callbacks_.on_drop("unreachable");  // once for all of it
+    if (stream->backlog() > 0) owner.callbacks_.on_drop("unreachable");  // once for the whole queue
     if (ending == net::CloseKind::aborted) failed_at = owner.loop_.now();
     net::Stream::drop(std::move(stream));
   }
@@ -47,6 +47,7 @@
   bool open = false;
 };
 
+// A stream from a peer, with the bytes of its incomplete frame.
 struct PeerStreams::IncomingStream final : net::Stream::Handler {
   IncomingStream(PeerStreams& o, Time now)
       : owner(o), stream(std::make_unique<net::Stream>(o.loop_, *this)), last_used(now) {}
@@ -70,7 +71,7 @@
     buffer.erase(0, at);
   }
   void ended(net::CloseKind) override { end(); }
-  void end() {  // ends this object
+  void end() {  // closes the stream and releases this object
     net::Stream::drop(std::move(stream));
     if (!verified) owner.unverified_ -= 1;
     auto it = owner.incoming_.find(this);
@@ -111,7 +112,8 @@
   for (int round = 0; round < 16; ++round) {
     net::Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
-      // Out of descriptors the listener would stay ready and keep the loop busy: the sweep tries again.
+      // Without descriptors or memory the listener would stay readable and keep the loop busy: it is watched
+      // again at the next sweep.
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) accepting_.stop();
       return;
     }
@@ -146,7 +148,7 @@
   if (out->stream->backlog() == 0) out->stalled_since = 0;
 }
 
-// Bounds on time: to connect, to be read by the peer, to show the key, to be of use.
+// Closes streams that exceed the time-out to connect, to be read by the peer, to be verified, or to be idle.
 void PeerStreams::sweep() {
   Time now = loop_.now();
   for (auto it = outgoing_.begin(); it != outgoing_.end();) {
--- a/src/fleet/net/peer_streams.h
+++ b/src/fleet/net/peer_streams.h
@@ -1,6 +1,5 @@
-// The fleet's TCP side: one outgoing stream to each peer that something is sent to, and the streams of
-// others. A frame is four octets of length, most significant first, and so many sealed octets. All is
-// bounded, a peer that does not read makes nobody wait, and what is idle is closed.
+/// The fleet's TCP streams. A frame is a length of four bytes in network order, followed by a sealed message
+/// of that many bytes.
 #pragma once
 
 #include <functional>
@@ -16,26 +15,33 @@
 
 namespace marblehub::fleet {
 
-constexpr std::size_t kMaxStreamQueueBytes =
-    2 * kMaxStreamMessageBytes;                    // octets unsent to one peer; more are dropped
-constexpr std::size_t kMaxIncomingStreams = 1024;  // of others
-constexpr std::size_t kMaxUnverifiedStreams = 64;  // of others that have not shown the key yet
-constexpr Time kVerifyTimeout = 5 * kSecond;       // until a stream must have shown it
+/// Unsent bytes queued for one peer. Messages beyond that are dropped.
+constexpr std::size_t kMaxStreamQueueBytes = 2 * kMaxStreamMessageBytes;
+constexpr std::size_t kMaxIncomingStreams = 1024;
+/// Incoming streams without a verified frame yet, and the time in which the first must arrive.
+constexpr std::size_t kMaxUnverifiedStreams = 64;
+constexpr Time kVerifyTimeout = 5 * kSecond;
 constexpr Time kConnectTimeout = 2 * kSecond, kStallTimeout = 10 * kSecond, kIdleTimeout = 60 * kSecond;
-constexpr Time kReconnectDelay =
-    200 * kMillisecond;  // a peer that could not be reached is left alone so long
+/// After a failure no connection to that peer is attempted for so long.
+constexpr Time kReconnectDelay = 200 * kMillisecond;
 
+/// Owns one outgoing stream to each peer that is sent something, and the incoming streams of peers. Sending
+/// never blocks: messages to a peer that does not read are dropped. Idle streams are closed.
 class PeerStreams {
  public:
+  /// Called on the loop's thread.
   struct Callbacks {
-    std::function<bool(std::string_view bytes)> on_frame;  // false: it did not verify, and the stream ends
-    std::function<void(const char* reason)> on_drop;
+    std::function<bool(std::string_view bytes)> on_frame;  ///< false: not verified, the stream is closed
+    std::function<void(const char* reason)> on_drop;       ///< reason: a label of the drop counter
   };
-  PeerStreams(net::Loop& loop, const sockaddr_in& listen, Callbacks callbacks);  // throws std::runtime_error
+  /// Throws std::runtime_error if the address cannot be bound.
+  PeerStreams(net::Loop& loop, const sockaddr_in& listen, Callbacks callbacks);
   ~PeerStreams();
 
+  /// Queues a message as one frame, and connects to the peer if needed.
   void send(const sockaddr_in& to, std::string_view sealed);
-  void flush_and_close();  // at the end: what is queued goes out in order
+  /// Closes the listener and all outgoing streams after what is queued on them has been sent.
+  void flush_and_close();
   std::size_t outgoing() const { return outgoing_.size(); }
   std::size_t incoming() const { return incoming_.size(); }
 
--- a/src/fleet/net/sender_filter.cpp
+++ b/src/fleet/net/sender_filter.cpp
@@ -13,7 +13,7 @@
     return Rejection::unknown_sender;
   auto it = senders_.find(envelope.sender);
   if (it == senders_.end()) {
-    // Nothing is known of it, so that an old copy is told by its age alone.
+    // For an unknown sender only the age of the message shows a replay.
     if (std::abs(arrived - envelope.sent_at) > kMaxFirstContactOffset) return Rejection::stale;
     if (senders_.size() >= kMaxSenders) return Rejection::unknown_sender;
     it = senders_.emplace(envelope.sender, Sender{}).first;
@@ -24,8 +24,8 @@
     s.incarnation = envelope.incarnation;
     s.incarnation_started = s.newest = envelope.sent_at;
   }
-  // A twin that was there before sends on, and must be heard so that the later one is told of it; what an
-  // earlier process has sent before its successor began is old.
+  // An older process of the same name that still runs must be received, so that the newer one learns of the
+  // conflict; what it sent before the newer one started is stale.
   if (envelope.incarnation < s.incarnation && envelope.sent_at <= s.incarnation_started)
     return Rejection::stale;
   if (envelope.sent_at < s.newest - kReplayWindow) return Rejection::stale;
