--- a/src/fleet/service/budget.cpp
+++ b/src/fleet/service/budget.cpp
@@ -8,7 +8,7 @@
 int budget_balancers(double members, int configured, Time since_start) {
   double held = static_cast<double>(since_start) / static_cast<double>(kBudgetHold);
   members = std::max({members, configured * std::clamp(2 - held, 0.0, 1.0), 1.0});
-  return static_cast<int>(std::ceil(members - 1e-9));  // up: in the fade too no one takes more than its part
+  return static_cast<int>(std::ceil(members - 1e-9));  // rounded up: no balancer exceeds its share
 }
 
 }  // namespace marblehub::fleet
--- a/src/fleet/service/budget.h
+++ b/src/fleet/service/budget.h
@@ -1,14 +1,13 @@
-// By how many balancers the fleet's budgets in the module are shared: those that the view has alive, settled
-// and smoothed (View::budget_members). Free of I/O and clock.
+/// The number of balancers that share the policy's budgets of the fleet. Free of I/O and clock.
 #pragma once
 
 #include "fleet/view/view.h"
 
 namespace marblehub::fleet {
 
-// One that has just started may know a part of the fleet only, and in a partition for long. So the number of
-// the settings counts at its start as if all of them had been given up then: in full for kBudgetHold,
-// decaying within another. 1 or more.
+/// `members`: View::budget_members, the smoothed number of live members. A balancer that has just started may
+/// know only a part of the fleet, and in a partition for long, so `configured` is a lower bound: in full for
+/// kBudgetHold after the start, then decreasing to 0 within another kBudgetHold. Returns 1 or more.
 int budget_balancers(double members, int configured, Time since_start);
 
 }  // namespace marblehub::fleet
--- a/src/fleet/service/pools.cpp
+++ b/src/fleet/service/pools.cpp
@@ -19,7 +19,7 @@
   };
   if (std::equal(before.begin(), before.end(), ready_workers_.begin(), ready_workers_.end(), same)) return;
   for (auto& [key, pool] : pools_) pool.members = nullptr;
-  ++changes_;
+  ++placement_version_;
 }
 
 void PooledWorkers::update_down(Time now, const std::vector<std::string>& workers) {
@@ -34,7 +34,7 @@
       if (pool.up_since < 0) pool.up_since = now;
       pool.failed_over = now - pool.up_since < kRecoveryTime;
     }
-    changes_ += pool.failed_over != was_left;
+    placement_version_ += pool.failed_over != was_left;
   }
 }
 
--- a/src/fleet/service/pools.h
+++ b/src/fleet/service/pools.h
@@ -1,6 +1,4 @@
-// The workers as the registry lists them and as the module finds them, and for each route the set of those
-// that a call may use. A set is made once for a table's pool and stays with the calls that began by it. Free
-// of I/O and clock.
+/// Which workers the calls of a route may use.
 #pragma once
 
 #include <map>
@@ -15,38 +13,46 @@
 
 namespace marblehub::fleet {
 
-// A pool that was left for its fallback because the module had all of it down is used again once some worker
-// of it has been up for so long without a break: one that flaps does not take the pool's calls to and fro.
+/// A pool that has failed over is used again once at least one of its workers has been up for this long
+/// without interruption, so that a flapping worker does not move the pool's calls back and forth.
 constexpr Time kRecoveryTime = 5 * kSecond;
 
+/// The workers of the registry's list, those that the policy has marked down, and the set of usable workers
+/// for each pool of a table. A set is built once and shared by the calls that use it. Free of I/O and clock.
 class PooledWorkers {
  public:
   using WorkerSet = std::shared_ptr<const std::set<std::string>>;
 
-  void update_list(const config::WorkerList& list);  // a whole list or changes: new sets where it differs
-  // All that the module has down now; told five times a second.
+  /// Applies a whole list or changes to it, and rebuilds the sets if the workers differ.
+  void update_list(const config::WorkerList& list);
+  /// Replaces the set of workers that are down. Called five times a second.
   void update_down(Time now, const std::vector<std::string>& workers);
-  std::vector<ListedWorker> listed() const;  // those that take new calls
-  // Of the route's pool. Of its fallback where none of the pool takes new calls, or where all of it are down
-  // and some of the fallback is up. Empty where neither has any: the call is then held and refused as by an
-  // empty list. O(log pools) after the first call for a pool.
+  /// The workers that take new calls.
+  std::vector<ListedWorker> listed() const;
+  /// The workers of the route's pool that take new calls. Those of its fallback if there are none, or if the
+  /// pool has failed over and a worker of the fallback is up. Empty if neither has any: the policy then
+  /// treats the call as with an empty list. O(log pools) after the first call for a pool.
   WorkerSet usable(const Route& route, const Routes& routes);
+  /// Whether at least one of the workers is not down.
   bool any_up(const std::set<std::string>& workers) const;
-  void reset_pools() { pools_.clear(), ++changes_; }  // a table has come into force
-  std::uint64_t changes() const { return changes_; }  // from 1; grows when `usable` may answer otherwise
+  /// Forgets all sets. Called when another table comes into force.
+  void reset_pools() { pools_.clear(), ++placement_version_; }
+  /// At least 1. Increases when `usable` may return another set.
+  std::uint64_t placement_version() const { return placement_version_; }
 
  private:
+  /// The state of the pools with one mask in one table version.
   struct Pool {
-    WorkerSet members;         // none: to be made anew
-    bool failed_over = false;  // all of it were down, and none has been up for long
-    Time up_since = -1;
+    WorkerSet members;         // null: to be built
+    bool failed_over = false;  // all members were down, and none has been up for kRecoveryTime since
+    Time up_since = -1;        // since when a member is up, while failed over; -1: none is
   };
   Pool& pool_entry(PoolMask pools, std::uint64_t version, const Routes& routes);
 
   std::map<std::string, ListedWorker> ready_workers_;
   std::set<std::string> down_workers_;
-  std::map<std::pair<std::uint64_t, PoolMask>, Pool> pools_;  // by version and bits
-  std::uint64_t changes_ = 1;
+  std::map<std::pair<std::uint64_t, PoolMask>, Pool> pools_;  // by version and mask
+  std::uint64_t placement_version_ = 1;
 };
 
 }  // namespace marblehub::fleet
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -13,7 +13,7 @@
 
 const char* const kAbortReasons[] = {"refused", "late", "replaced", "proposer_gone"};
 
-// Of the record's words (record/command.cpp, routes/driver.cpp), for what counts in numbers.
+// The metric's label for a reason from record/command.cpp or routes/driver.cpp.
 const char* abort_reason(std::string_view message) {
   constexpr std::string_view aborted = " aborted: ";
   if (std::size_t at = message.find(aborted); at != message.npos) message.remove_prefix(at + aborted.size());
@@ -22,7 +22,8 @@
   return message.starts_with("its proposer is gone") ? "proposer_gone" : "refused";
 }
 
-// The record keeps the last one: of a version that came into force since, a start finds it as history.
+// Whether the refused version has come into force since. The record keeps the last refusal, which a balancer
+// that starts then reads.
 bool is_superseded(std::string_view message, std::uint64_t in_force) {
   constexpr std::string_view version_word = "version ";
   std::uint64_t version = 0;
@@ -68,15 +69,14 @@
                                "Route activations that were aborted", {{"why", why}});
   check::on_violation = [this](const char* component, const std::string& what) {
     if (disabled_components_.insert(component).second)
-      log::error("fleet: {} is off, what must hold was broken: {}", component, what);
+      log::error("fleet: {} is off, an invariant was violated: {}", component, what);
   };
   driver_.on_name_conflict([stop = std::move(stop)](const std::string&) { stop(); });
   driver_.on_step([this] { after_step(); });
   log::info("fleet: {} of {} on {}", settings_.name, settings_.fleet, settings_.listen);
   if (settings_.voters.empty() && (!settings_.routes_file.empty() || !settings_.wallet_file.empty()))
-    log::warning(
-        "fleet: no voters are named, so nothing can be agreed on: routes and wallets stay as they are");
-  // A list that nobody has told yet is none: a pool is not refused for being empty of it.
+    log::warning("fleet: no voters are configured, so routes and wallets cannot change");
+  // Without known workers no list is set, so that pools are not refused for having no worker.
   if (!startup.known.workers.empty()) worker_list_updated(startup.known);
   reload(std::move(files));
 }
@@ -102,7 +102,7 @@
   return options;
 }
 
-// A file of another name is that of a start to come.
+// Null if the file's name has changed, which only a restart applies.
 Routes* FleetService::reloadable_routes(const FleetFiles& next) {
   return next.settings.routes_file == settings_.routes_file ? driver_.node().routes() : nullptr;
 }
@@ -183,7 +183,7 @@
   workers_.update_down(driver_.now(), workers);
 }
 
-// Where it cannot be told what is in force, or nothing of the pool is there to go to, all stay.
+// Connections stay where they are if the version in force is unknown or no usable worker is up.
 bool FleetService::placement_allowed(const core::Call& call, const std::string& worker) {
   Time now = driver_.now();
   Routes* routes = is_enabled("routes") ? driver_.node().routes() : nullptr;
@@ -208,7 +208,7 @@
   return disabled_components_.empty() || !disabled_components_.count(component);
 }
 
-// After every input of the node: what an operator watches, and the sets of a table that has come into force.
+// After each input of the node: updates metrics and log, and resets the pools when another table is in force.
 void FleetService::after_step() {
   Node& node = driver_.node();
   Time now = driver_.now();
@@ -224,7 +224,7 @@
     }
     PlacementMode mode = routes->placement_mode(now);
     if (std::exchange(logged_mode_, mode) != mode && mode == PlacementMode::fenced)
-      log::warning("fleet: fenced, nothing new is placed: {}", routes->why_fenced());
+      log::warning("fleet: fenced, no new calls are placed: {}", routes->why_fenced());
     if (const std::string& why = routes->last_refusal(); why != logged_refusal_) {
       logged_refusal_ = why;
       if (!is_superseded(why, logged_version_)) {
@@ -249,7 +249,7 @@
     if (paused_tenants_.erase(tenant) != 0)
       log::info("fleet: wallet {} has units to spend again", tenant);
     else if (paused_tenants_.insert(tenant).second)
-      log::warning("fleet: wallet {} is paused, nothing is left to spend", tenant);
+      log::warning("fleet: wallet {} is paused, no units are left to spend", tenant);
   }
   paused_.set(static_cast<double>(paused_tenants_.size()));
   held_back_.set(held_back);
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -1,6 +1,4 @@
-// The fleet's part of a daemon: files, disk and driver on one side, the dispatcher's gate on the other. A
-// call that is fenced or whose wallet is out is refused here at once with a time, and the module never hears
-// of it.
+/// Connects the fleet's components to the daemon.
 #pragma once
 
 #include <functional>
@@ -19,20 +17,24 @@
 
 namespace marblehub::fleet {
 
+/// Owns the fleet's disk, journal and node driver, and is the dispatcher's gate. Rejects calls while fenced
+/// or with an empty wallet, with a time to retry, before the policy sees them.
 class FleetService final : public core::CallGate {
  public:
-  // Throws std::runtime_error or config::DecodeError with file and key; `files` are enabled. `stop` is
-  // called where another process of this name was there before.
+  /// Throws std::runtime_error, or config::DecodeError with file and key. `files` must be enabled. `stop` is
+  /// called if an older process of the same name is running.
   FleetService(net::Loop& loop, FleetFiles files, const config::Startup& startup, metrics::Registry& metrics,
                std::function<void()> stop);
   ~FleetService() override;
 
-  // SIGHUP, in two steps: what cannot be followed, by what is agreed, is thrown before anything is.
+  /// First step of a reload at SIGHUP: throws config::DecodeError if the files conflict with the record.
   void check_reload(const FleetFiles& next);
-  // The keys that take a restart to follow come back. Not before `check`.
+  /// Second step: applies the files. Returns the changed keys that only a restart applies.
   std::vector<std::string> reload(FleetFiles next);
-  void return_wallets();  // at SIGTERM: what is unspent goes back as the last calls end
-  void leave();           // when all clients have moved
+  /// At SIGTERM: returns the unspent units of all slices as the last calls end.
+  void return_wallets();
+  /// Leaves the fleet, once all clients have moved.
+  void leave();
 
   // core::CallGate
   Decision admit(std::uint64_t id, const core::Call& call) override;
@@ -42,7 +44,7 @@
   int balancer_count() override;
   void set_down_workers(const std::vector<std::string>& workers) override;
   bool placement_allowed(const core::Call& call, const std::string& worker) override;
-  std::uint64_t placement_version() override { return workers_.changes(); }
+  std::uint64_t placement_version() override { return workers_.placement_version(); }
 
  private:
   const std::string& class_of(const core::Call& call) const {
@@ -54,27 +56,27 @@
   Wallets* reloadable_wallets(const FleetFiles& next);
   void after_step();
   void report_wallets(const Ledger& ledger, const Wallets& wallets);
-  bool is_enabled(const char* component);  // false: an invariant of that part was broken, and it is off
+  bool is_enabled(const char* component);  // false: switched off, because an invariant was violated
 
   const Settings settings_;
   const config::Values start_values_;  // of fleet.json at the start
-  const int configured_balancers_;     // balancers, by the starting file
+  const int configured_balancers_;     // by the starting file
   std::vector<std::string> classes_;
   std::unique_ptr<LmdbDisk> disk_;        // of a voter
-  std::unique_ptr<FileJournal> journal_;  // where there is a wallet and a folder
+  std::unique_ptr<FileJournal> journal_;  // with a wallet and a data folder only
   NodeDriver driver_;
   const Time started_at_;
   PooledWorkers workers_;
-  std::unordered_map<std::uint64_t, Reservation> reserved_;  // by call; one that stands has none any more
+  std::unordered_map<std::uint64_t, Reservation> reserved_;  // by call, until it is established or ends
   std::string logged_refusal_, logged_deposit_error_;
   std::set<std::string> paused_tenants_;
-  std::map<std::string, std::int64_t> logged_deposits_;  // by tenant, as it was told in the log
+  std::map<std::string, std::int64_t> logged_deposits_;  // units paid in, by tenant
   std::uint64_t logged_version_ = 0;
   PlacementMode logged_mode_ = PlacementMode::no_table;
   std::set<std::string> disabled_components_;
   metrics::Metric &version_, &fenced_, &alone_, &paused_, &refused_fenced_, &refused_paused_, &majority_,
       &leads_, &no_vote_, &held_back_, &broken_parts_, &budget_members_;
-  std::map<std::string_view, metrics::Metric*> aborted_;  // by why
+  std::map<std::string_view, metrics::Metric*> aborted_;  // by reason
 };
 
 }  // namespace marblehub::fleet
--- a/tests/fleet/service/pools_test.cpp
+++ b/tests/fleet/service/pools_test.cpp
@@ -1,4 +1,4 @@
-// A route's pool is left for its fallback while the module has all of it down.
+// Failover of a pool to its fallback while all of its workers are down.
 #include "fleet/service/pools.h"
 
 #include <catch2/catch.hpp>
@@ -13,12 +13,11 @@
 using fleet::PooledWorkers;
 using Names = std::set<std::string>;
 
-constexpr Time kLook = 200'000;  // the dispatcher tells as often
+constexpr Time kUpdateInterval = 200'000;  // that of the dispatcher
 
-// A table in force: north has n-1 and n-2, its fallback south s-1, and nowhere names a worker that is not
-// there.
-struct Pooled {
-  Pooled() : nodes(3, 3) {
+// A table in force: the pool north has n-1 and n-2, its fallback south has s-1; both name an unlisted worker.
+struct PoolFixture {
+  PoolFixture() : nodes(3, 3) {
     nodes.run(5'000'000, 10'000);
     list({"n-1", "n-2", "s-1"});
     nodes.members.at("m0").node->routes()->update_workers(workers.listed());
@@ -39,8 +38,8 @@
     return *workers.usable(routes().route(nodes.clock(nodes.members.at("m0")), service_class, "", ""),
                            routes());
   }
-  void down(const Names& names, Time span = kLook) {
-    for (const Time end = at + span; at < end; at += kLook)
+  void down(const Names& names, Time span = kUpdateInterval) {
+    for (const Time end = at + span; at < end; at += kUpdateInterval)
       workers.update_down(at, {names.begin(), names.end()});
   }
 
@@ -53,67 +52,67 @@
 
 }  // namespace
 
-TEST_CASE("a pool whose workers are all down is left, and used again once one has been up for a while") {
-  Pooled p;
+TEST_CASE("a pool whose workers are all down fails over, and recovers once one has been up for a while") {
+  PoolFixture p;
   CHECK(p.usable() == kNorth);
   p.down({"n-1"});
   CHECK(p.usable() == kNorth);
-  const std::uint64_t before = p.workers.changes();
+  const std::uint64_t before = p.workers.placement_version();
   p.down({"n-1", "n-2"});
   CHECK(p.usable() == kSouth);
   CHECK(p.usable("park") == kNorth);  // a rule without a fallback
-  CHECK(p.workers.changes() == before + 1);
+  CHECK(p.workers.placement_version() == before + 1);
   p.down({"n-1", "n-2"}, 60'000'000);
   CHECK(p.usable() == kSouth);
   p.down({"n-1"}, kRecoveryTime);
   CHECK(p.usable() == kSouth);
   p.down({"n-1"});
   CHECK(p.usable() == kNorth);
-  CHECK(p.workers.changes() == before + 2);
+  CHECK(p.workers.placement_version() == before + 2);
 }
 
-TEST_CASE("a worker that flaps does not take its pool's calls to and fro") {
-  Pooled p;
+TEST_CASE("a flapping worker does not move its pool's calls back and forth") {
+  PoolFixture p;
   CHECK(p.usable() == kNorth);
   p.down(kNorth);
-  const std::uint64_t before = p.workers.changes();
+  const std::uint64_t before = p.workers.placement_version();
   for (int i = 0; i < 100; ++i) {
-    p.down({"n-2"}, kRecoveryTime - kLook);  // up for a little less
+    p.down({"n-2"}, kRecoveryTime - kUpdateInterval);  // up for slightly less than the recovery time
     REQUIRE(p.usable() == kSouth);
     p.down(kNorth);
   }
-  CHECK(p.workers.changes() == before);
+  CHECK(p.workers.placement_version() == before);
 }
 
-TEST_CASE("where all of a fallback are down too, the pool is used") {
-  Pooled p;
-  p.down({"n-1", "n-2", "s-1"});  // before the first call by it, as after a start
+TEST_CASE("a pool does not fail over to a fallback whose workers are all down") {
+  PoolFixture p;
+  p.down({"n-1", "n-2", "s-1"});  // before the first call, as after a start
   CHECK(p.usable() == kNorth);
   p.down({"n-1", "n-2"});
   CHECK(p.usable() == kSouth);
   p.down({"n-1", "s-1"});
   CHECK(p.usable() == kNorth);
   p.list({"s-1"});
-  CHECK(p.usable() == kSouth);  // of the pool nobody is listed
+  CHECK(p.usable() == kSouth);  // no worker of the pool is listed
 }
 
-TEST_CASE("news of the list does not bring a pool back that is down") {
-  Pooled p;
+TEST_CASE("an update of the list does not end a failover") {
+  PoolFixture p;
   CHECK(p.usable() == kNorth);
   p.down(kNorth);
   p.list({"n-1", "n-2", "s-1", "s-2"});
   CHECK(p.usable() == kSouth);
-  p.down({"n-1"}, kRecoveryTime - kLook);
+  p.down({"n-1"}, kRecoveryTime - kUpdateInterval);
   p.list({"n-1", "n-2", "s-1"});
   CHECK(p.usable() == kSouth);
-  const std::uint64_t before = p.workers.changes();
+  const std::uint64_t before = p.workers.placement_version();
   p.list({"n-1", "n-2", "s-1"});
-  CHECK(p.workers.changes() == before);  // the same list again is no news
+  CHECK(p.workers.placement_version() == before);  // an unchanged list
   p.list({"n-1", "s-1"});
-  CHECK(p.workers.changes() == before + 1);
+  CHECK(p.workers.placement_version() == before + 1);
 }
 
-TEST_CASE("the dispatcher tells its gate which workers the module has down") {
+TEST_CASE("the dispatcher reports to its gate which workers the policy has marked down") {
   DispatcherFixture d(Bench::settings(), 3);
   DispatcherFixture::FakeGate gate;
   d.dispatcher->set_gate(gate);
