--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -1,4 +1,4 @@
-// The fleet's budgets in the module go by the balancers that the view has alive.
+// Budgets of the policy that the fleet shares are divided by the number of live balancers.
 #include "fleet/service/budget.h"
 
 #include <catch2/catch.hpp>
@@ -10,15 +10,14 @@
 namespace marblehub::test {
 namespace {
 
-constexpr Time kFound = 20'000'000;  // by then all that are lost are given up
+constexpr Time kDetectionTime = 20'000'000;  // by then the view has given up all lost members
 
 using fleet::budget_balancers;
 using fleet::kBudgetHold;
 using fleet::kSecond;
 using fleet::test::NodeNetwork;
 
-// Nine nodes with modules that go by them. What all may spend of one budget, at a cold worker or anywhere,
-// is the sum of their parts.
+// Nine nodes that share a budget. The fleet spends the sum of their shares.
 struct Fleet : NodeNetwork {
   explicit Fleet(int configured) : NodeNetwork(9, 5), configured(configured), began(now) {}
   int shared_by(const Member& one) const {
@@ -60,41 +59,41 @@
 
 }  // namespace
 
-TEST_CASE("halves of a partition spend one fleet's budget together while it is held") {
+TEST_CASE("both halves of a partition together spend one budget during the hold time") {
   Fleet f(9);
   CHECK(f.max_spent(kBudgetHold * 2 + 10 * kSecond) <= 1 + 1e-9);
   f.halve();
-  CHECK(f.max_spent(kBudgetHold) <= 1 + 1e-9);  // the time that is stated
-  CHECK(f.max_spent(kBudgetHold + kFound) <= 2 + 1e-9);
-  CHECK(f.shared_by(f.members.at("m0")) == 4);  // and each half is by itself
+  CHECK(f.max_spent(kBudgetHold) <= 1 + 1e-9);  // the documented time
+  CHECK(f.max_spent(kBudgetHold + kDetectionTime) <= 2 + 1e-9);
+  CHECK(f.shared_by(f.members.at("m0")) == 4);  // each half counts itself only
   CHECK(f.shared_by(f.members.at("m8")) == 5);
   f.heal();
   f.run(5 * kSecond, 20'000);
   for (const auto& [name, one] : f.members) CHECK(f.shared_by(one) == 9);
 }
 
-TEST_CASE("after the real loss of half a fleet the others have its budget within four minutes") {
+TEST_CASE("after the loss of half a fleet the others have its budget within four minutes") {
   Fleet f(9);
   f.run(kBudgetHold * 2, 20'000);
   for (const char* name : {"m4", "m5", "m6", "m7", "m8"}) f.kill(name);
   CHECK(f.max_spent(kBudgetHold) <= 4.0 / 9 + 1e-9);
-  f.run(kBudgetHold + kFound, 20'000);
+  f.run(kBudgetHold + kDetectionTime, 20'000);
   CHECK(f.spent() == Approx(1));
 }
 
-TEST_CASE("a fleet that starts in halves, or knows nobody yet, goes by what it was told") {
+TEST_CASE("a fleet that starts partitioned, or a balancer without members, uses the configured number") {
   Fleet f(9);
   f.halve();
   CHECK(f.max_spent(kBudgetHold - kSecond) <= 1 + 1e-9);
-  f.run(kBudgetHold + kFound, 20'000);
+  f.run(kBudgetHold + kDetectionTime, 20'000);
   CHECK(f.shared_by(f.members.at("m0")) == 4);
-  CHECK(budget_balancers(1, 9, -5 * kSecond) == 9);  // a clock that was put back
+  CHECK(budget_balancers(1, 9, -5 * kSecond) == 9);  // a clock that was set back
   CHECK(budget_balancers(1, 0, 0) == 1);
-  CHECK(budget_balancers(9, 1, 0) == 9);  // growth counts at once, whatever was configured
+  CHECK(budget_balancers(9, 1, 0) == 9);  // growth counts at once
   CHECK(budget_balancers(4.2, 9, 2 * kBudgetHold) == 5);
 }
 
-TEST_CASE("a module that is told of more balancers is not in debt for it, nor has it a burst at fewer") {
+TEST_CASE("a change of the balancer count causes neither a pause nor a burst of probes") {
   constexpr Time kMinute = 60'000'000;
   Settings s = dear_probes();
   s.balancers = 10;
@@ -111,7 +110,7 @@
   CHECK(probes[2] < probes[10] * 2);
 }
 
-TEST_CASE("the dispatcher hands the number on to the module") {
+TEST_CASE("the dispatcher passes the balancer count to the policy") {
   Settings s = Bench::settings();
   s.balancers = 10;
   std::map<int, int> probes;
--- a/tests/fleet/service/dispatcher_fixture.h
+++ b/tests/fleet/service/dispatcher_fixture.h
@@ -1,4 +1,4 @@
-// A dispatcher on a clock that the test sets, with a gate, clients and workers that do as they are told.
+// A dispatcher on a simulated clock, with a fake gate and fake clients, workers, prober and registry.
 #pragma once
 
 #include <map>
@@ -12,11 +12,13 @@
 
 namespace marblehub::test {
 
+/// Implements all ports of the dispatcher, and counts what it does.
 struct DispatcherFixture : core::Clock, core::Prober, core::Registry, core::ClientSide, core::WorkerSide {
+  // Admits all calls, and places them in `pool`.
   struct FakeGate : core::CallGate {
     int shared_by = 0;
     std::vector<std::string> all_down;
-    std::set<std::string> pool;  // where calls may stand; empty: anywhere
+    std::set<std::string> pool;  // where calls may be placed; empty: anywhere
     std::uint64_t changed = 0;
     Decision admit(std::uint64_t, const core::Call&) override { return {}; }
     void call_established(std::uint64_t) override {}
@@ -29,6 +31,7 @@
     }
     std::uint64_t placement_version() override { return changed; }
   };
+  // Ignores what it is given.
   struct FakeAttempt : core::Attempt {
     void deliver(std::string_view) override {}
     void hold(bool) override {}
@@ -80,7 +83,7 @@
   std::vector<std::string> pending_probes;
   std::map<std::string, int> probes;
   std::map<std::uint64_t, std::string> last_worker;  // the last worker of each call
-  std::set<std::string> silent;                      // they do not answer probes
+  std::set<std::string> silent;                      // workers whose probes time out
   int refused = 0, moved = 0;
 };
 
