--- a/bench/fleet_routes.cpp
+++ b/bench/fleet_routes.cpp
@@ -1,6 +1,7 @@
-// How long an activation takes and how far apart its first calls are, at 9 and at 300 members, on the virtual
-// clock in steps of 1 ms: from the operator's offer at one member to the last member's first call by it.
-// Over whole nodes (view, record, routes) where they are built, else over the tests' record.
+// Duration of an activation and spread of the members' first calls by it, with 9 and 300 members, on a
+// simulated clock in steps of 1 ms: from the offer at one member to the last member's first call by the new
+// version. Runs over whole nodes (view, record, routes) if FLEET_ROUTES_NODES is defined, else over the fake
+// record.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -36,13 +37,13 @@
 std::uint64_t messages_of(const Fleet& fleet) { return fleet.record.messages; }
 std::uint64_t bytes_of(const Fleet&) { return 0; }
 std::uint64_t record_of(const Fleet& fleet) { return fleet.record.messages; }
-constexpr const char* kOver = "the tests' record";
+constexpr const char* kOver = "the fake record";
 #endif
 
 double ms(Time t) { return static_cast<double>(t) / 1e3; }
 
 void measure(int members, int seeds, Time settle) {
-  std::vector<Time> took, spread;
+  std::vector<Time> durations, spread;
   double messages = 0, bytes = 0, idle = 0, record = 0;
   int missed = 0;
   const auto began = std::chrono::steady_clock::now();
@@ -66,27 +67,27 @@
     }
     Time oldest = offered + 100 * kSecond, newest = 0;
     for (const auto& [name, at] : first) oldest = std::min(oldest, at), newest = std::max(newest, at);
-    took.push_back(newest - offered);
+    durations.push_back(newest - offered);
     spread.push_back(newest - oldest);
   }
   const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-  std::sort(took.begin(), took.end());
+  std::sort(durations.begin(), durations.end());
   std::sort(spread.begin(), spread.end());
-  auto part = [](const std::vector<Time>& of, double p) {
+  auto quantile = [](const std::vector<Time>& of, double p) {
     return of.empty() ? 0.0 : ms(of[static_cast<std::size_t>(p * static_cast<double>(of.size() - 1))]);
   };
   std::printf(
-      "%d members, %d seeds, over %s: activation p50 %.0f ms, p99 %.0f ms, most %.0f ms; spread p50 %.0f ms, "
-      "most %.0f ms; not all within 2 s: %d\n"
-      "  messages in the 2 s of it %.0f (%.0f of the record), in 2 s idle %.0f; %.0f octets a member a "
+      "%d members, %d seeds, over %s: activation p50 %.0f ms, p99 %.0f ms, max %.0f ms; spread p50 %.0f ms, "
+      "max %.0f ms; not all within 2 s: %d\n"
+      "  messages in the 2 s of it %.0f (%.0f of the record), in 2 s idle %.0f; %.0f bytes a member a "
       "second; "
       "%.1f s of one core in all\n",
-      members, seeds, kOver, part(took, 0.5), part(took, 0.99), part(took, 1), part(spread, 0.5),
-      part(spread, 1), missed, messages / seeds, record / seeds, idle / seeds, bytes / seeds / 2 / members,
-      seconds);
+      members, seeds, kOver, quantile(durations, 0.5), quantile(durations, 0.99), quantile(durations, 1),
+      quantile(spread, 0.5), quantile(spread, 1), missed, messages / seeds, record / seeds, idle / seeds,
+      bytes / seeds / 2 / members, seconds);
 }
 
-// A call's way: which pools, with the largest table there may be.
+// Time to match a call against the largest table.
 void measure_match() {
   std::string text = R"({"version": 1, "pools": [{"name": "north"}, {"name": "south"}], "rules": [)";
   for (int i = 0; i < 4096; ++i)
--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -1,4 +1,4 @@
-// Activations among many balancers on a virtual clock: the hard cases by name, then chance by seeds.
+// Activations among many balancers on a simulated clock: named failure cases, then random faults by seeds.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
@@ -7,7 +7,7 @@
 namespace marblehub::fleet::test {
 namespace {
 
-// Version 1 in force everywhere, and version 2 offered at m5.
+// Nine balancers with version 1 in force everywhere.
 struct ActivatedNetwork : RoutesNetwork {
   explicit ActivatedNetwork(std::uint64_t seed = 1, std::function<void(Settings&)> change = {})
       : RoutesNetwork(9, seed, change) {
@@ -16,7 +16,7 @@
     run(2 * kSecond);
     REQUIRE(all_place_by(1));
   }
-  const RouteState& recorded_routes() const { return record.ledger.routes; }
+  const RouteState& recorded() const { return record.ledger.routes; }
   void run_until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
     for (Time end = record.now + max_wait; !reached() && record.now < end;) run(5 * kMillisecond);
     REQUIRE(reached());
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("an undisturbed activation switches all within a second, at one moment") {
+TEST_CASE("an undisturbed activation switches all within a second, at one time") {
   ActivatedNetwork w;
   const Time offered = w.record.now;
   w.offer("m5", table(2, "south"));
@@ -43,51 +43,50 @@
 TEST_CASE("a proposer killed between the phases leaves an activation that is aborted at the time-out") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded_routes().staged == 2; });
+  w.run_until([&] { return w.recorded().staged == 2; });
   w.kill("m5");
   w.run(5 * kSecond);
   CHECK(w.all_place_by(1));
-  CHECK(w.recorded_routes().staged == 0);
+  CHECK(w.recorded().staged == 0);
   CHECK(w.members.at("m1").routes->last_refusal().find("version 2 aborted") == 0);
-  w.offer("m6", table(2));  // the same again, at another
+  w.offer("m6", table(2));  // the same version again, at another member
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
   w.check_overlap();
 }
 
-TEST_CASE("a proposer killed at the recorded moment changes nothing") {
+TEST_CASE("a proposer killed at the recorded activation time changes nothing") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded_routes().next == 2; });
-  w.run_until([&] { return w.record.now >= w.recorded_routes().activation_time - 5 * kMillisecond; });
+  w.run_until([&] { return w.recorded().next == 2; });
+  w.run_until([&] { return w.record.now >= w.recorded().activation_time - 5 * kMillisecond; });
   w.kill("m5");
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
   w.check_overlap();
 }
 
-TEST_CASE("a leader killed in either phase, or at the moment, leaves all by one version") {
+TEST_CASE("a leader killed in either phase, or at the activation time, leaves all on one version") {
   for (int phase = 0; phase < 3; ++phase)
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       CAPTURE(phase, seed);
       ActivatedNetwork w(seed);
       w.offer("m5", table(2));
-      w.run_until(
-          [&] { return phase == 0 ? w.recorded_routes().staged == 2 : w.recorded_routes().next == 2; });
+      w.run_until([&] { return phase == 0 ? w.recorded().staged == 2 : w.recorded().next == 2; });
       if (phase == 2)
-        w.run_until([&] { return w.record.now >= w.recorded_routes().activation_time - 5 * kMillisecond; });
+        w.run_until([&] { return w.record.now >= w.recorded().activation_time - 5 * kMillisecond; });
       w.kill(w.record.leader);
       w.run(8 * kSecond);
-      CHECK(w.all_place_by(w.recorded_routes().in_force));
-      if (phase > 0) CHECK(w.recorded_routes().in_force == 2);
+      CHECK(w.all_place_by(w.recorded().in_force));
+      if (phase > 0) CHECK(w.recorded().in_force == 2);
       w.check_overlap();
     }
 }
 
-TEST_CASE("a member asleep across the moment places nothing at its first call, then by the new version") {
+TEST_CASE("a member suspended across the activation time is fenced, then places by the new version") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded_routes().staged == 2 && !w.recorded_routes().waited_for.count("m7"); });
+  w.run_until([&] { return w.recorded().staged == 2 && !w.recorded().waited_for.count("m7"); });
   w.sleep("m7", 2500 * kMillisecond);
   w.run(2490 * kMillisecond);
   CHECK(w.last.count(2) == 1);
@@ -102,7 +101,7 @@
   w.check_overlap();
 }
 
-TEST_CASE("a clock 300 ms off within a bound of 400 goes along; one beyond its bound fences itself") {
+TEST_CASE("a clock 300 ms off takes part within a bound of 400 ms and is fenced beyond its bound") {
   for (Time sign : {1, -1}) {
     CAPTURE(sign);
     RoutesNetwork near(
@@ -113,7 +112,7 @@
     near.run(6 * kSecond);
     CHECK(near.all_place_by(1));
     CHECK(near.overlap() <= 400 * kMillisecond);
-    CHECK(near.overlap() >= 200 * kMillisecond);  // the clock is off, and it shows
+    CHECK(near.overlap() >= 200 * kMillisecond);  // the clock offset is visible
 
     RoutesNetwork far(9, 3);
     far.members.at("m7").offset = sign * 300 * kMillisecond;
@@ -125,13 +124,13 @@
     CHECK(far.members.at("m5").version == 1);
     CHECK_FALSE(far.members.at("m5").routes->clock_off());
     CHECK(far.overlap() <= far.record.settings.clock_bound);
-    far.members.at("m7").offset = 0;  // set right: it comes back by itself
+    far.members.at("m7").offset = 0;  // corrected: it recovers by itself
     far.run(4 * kSecond);
     CHECK(far.all_place_by(1));
   }
 }
 
-TEST_CASE("two proposals at once: the newer wins or both are told why") {
+TEST_CASE("of two concurrent proposals the newer one comes into force") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     ActivatedNetwork w(seed);
@@ -143,16 +142,16 @@
   }
 }
 
-TEST_CASE("a newer version during an activation takes its place") {
+TEST_CASE("a newer version replaces one whose activation is not complete, or follows it") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded_routes().staged == 2; });
+  w.run_until([&] { return w.recorded().staged == 2; });
   w.offer("m6", table(3));
   w.run(3 * kSecond);
   CHECK(w.all_place_by(3));
-  ActivatedNetwork after;  // or follows it, once its moment is over
+  ActivatedNetwork after;  // or follows it after its activation time
   after.offer("m5", table(2));
-  after.run_until([&] { return after.recorded_routes().next == 2; });
+  after.run_until([&] { return after.recorded().next == 2; });
   after.offer("m6", table(3));
   after.run(3 * kSecond);
   CHECK(after.all_place_by(3));
@@ -160,7 +159,7 @@
   after.check_overlap();
 }
 
-TEST_CASE("a refusal at one member ends the activation, with member, place and key") {
+TEST_CASE("a refusal by one member aborts the activation and names member, pool and key") {
   ActivatedNetwork w;
   w.members.at("m7").routes->update_workers({{"w-1", "n", "t", "0"}});
   w.offer("m5", table(2));
@@ -172,60 +171,60 @@
   CHECK(why.find("routes 2: setting pools.1") != std::string::npos);
 }
 
-TEST_CASE("a member that dies before its yes is given up once it is gone from the view") {
+TEST_CASE("a member that dies before it accepts is given up once the view has declared it dead") {
   ActivatedNetwork w;
   w.kill("m7");
-  w.offer("m5", table(2));  // the view still has it
+  w.offer("m5", table(2));  // the member is still in the view
   w.run(500 * kMillisecond);
-  CHECK(w.recorded_routes().waited_for == std::set<std::string>{"m7"});
+  CHECK(w.recorded().waited_for == std::set<std::string>{"m7"});
   w.run(2500 * kMillisecond);
   CHECK(w.all_place_by(2));
-  CHECK(w.recorded_routes().last_refusal.empty());
+  CHECK(w.recorded().last_refusal.empty());
   w.check_overlap();
 }
 
-TEST_CASE("a version aborted and proposed again in one breath is answered again") {
+TEST_CASE("a version aborted and proposed again in the same update is answered again") {
   ActivatedNetwork w;
   auto say = [&, number = std::uint64_t{0}](Body body) mutable {
     w.record.append({{"by-hand", 1, ++number}, std::move(body)});
   };
   say(ProposeRoutes{2, table(2), {"m7", "ghost"}, w.record.now});
-  w.run_until([&] { return w.recorded_routes().waited_for == std::set<std::string>{"ghost"}; });
+  w.run_until([&] { return w.recorded().waited_for == std::set<std::string>{"ghost"}; });
   w.record.followers.erase("m7");
   say(AbortRoutes{2, "by hand"});
   say(ProposeRoutes{2, table(2), {"m7"}, w.record.now});
-  w.run_until([&] { return w.recorded_routes().waited_for == std::set<std::string>{"m7"}; });
+  w.run_until([&] { return w.recorded().waited_for == std::set<std::string>{"m7"}; });
   w.record.followers.insert("m7");
-  w.run_until([&] { return w.recorded_routes().staged == 2 && w.recorded_routes().waited_for.empty(); });
+  w.run_until([&] { return w.recorded().staged == 2 && w.recorded().waited_for.empty(); });
 }
 
-TEST_CASE("words taken before are no news, and are not refused for having grown old") {
+TEST_CASE("a text taken before is ignored, and not refused once its version is outdated") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
   w.run(2 * kSecond);
   REQUIRE(w.all_place_by(2));
-  CHECK_NOTHROW(w.offer("m4", table(1)));  // its file as it was, read again for another file's sake
+  CHECK_NOTHROW(w.offer("m4", table(1)));  // its unchanged file, read again by a reload
   CHECK_THROWS_WITH(w.offer("m6", table(1)), Catch::Contains("setting version: expected above 2"));
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
 }
 
-TEST_CASE("an older version, or the same with other words, is refused where it is offered") {
+TEST_CASE("an older version, or the same one with another text, is refused where it is offered") {
   ActivatedNetwork w;
-  CHECK_NOTHROW(w.offer("m5", table(1)));  // no news
+  CHECK_NOTHROW(w.offer("m5", table(1)));  // unchanged
   CHECK_THROWS_WITH(w.offer("m5", table(1, "south")), Catch::Contains("routes.json: setting version"));
   w.offer("m5", table(4));
   w.run(3 * kSecond);
   CHECK_THROWS_WITH(w.offer("m6", table(3)), Catch::Contains("setting version: expected above 4"));
   CHECK_THROWS_WITH(w.offer("m6", "{"), Catch::Contains("routes.json: expected a JSON object"));
-  w.restart("m6");  // which knows nothing yet: told once it does
+  w.restart("m6");  // its record is still empty: refused once it is up to date
   w.offer("m6", table(3));
   w.run(kSecond);
   CHECK(w.all_place_by(4));
   CHECK(w.members.at("m6").routes->last_refusal().find("expected above 4") != std::string::npos);
 }
 
-TEST_CASE("a table on record that cannot be read fences, and is not read again at each step") {
+TEST_CASE("a recorded table that cannot be decoded fences all until a valid one follows") {
   ActivatedNetwork w;
   w.record.append({{"by-hand", 1, 1}, ProposeRoutes{2, "not a table", {"ghost"}, w.record.now}});
   w.record.append({{"by-hand", 1, 2}, AnswerRoutes{2, "ghost", "", true}});
@@ -238,42 +237,42 @@
   CHECK(w.all_place_by(3));
 }
 
-TEST_CASE("a majority of the voters lost fences all, and an activation begun before it is aborted") {
+TEST_CASE("the loss of a majority of the voters fences all and aborts a staged activation") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded_routes().staged == 2; });
+  w.run_until([&] { return w.recorded().staged == 2; });
   w.kill("m1");
   w.kill("m2");
   w.run(4 * kSecond);
   for (auto& [name, b] : w.members)
     if (b.up) CHECK(b.mode == PlacementMode::fenced);
-  CHECK(w.recorded_routes().next == 0);
+  CHECK(w.recorded().next == 0);
   w.restart("m1");
   w.restart("m2");
   w.run(6 * kSecond);
-  CHECK(w.recorded_routes().staged == 0);
-  CHECK(w.all_place_by(w.recorded_routes().in_force));
+  CHECK(w.recorded().staged == 0);
+  CHECK(w.all_place_by(w.recorded().in_force));
   w.check_overlap();
 }
 
-TEST_CASE("a proposal that is recorded after its time is ended by its proposer at once") {
+TEST_CASE("a proposal recorded after its time-out is aborted by its proposer at once") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.members.at("m5").side = 1;  // its words wait at it
+  w.members.at("m5").side = 1;  // its proposal is not delivered
   w.run(w.record.settings.stage + kSecond);
-  CHECK(w.recorded_routes().max_proposed == 1);
+  CHECK(w.recorded().max_proposed == 1);
   w.members.at("m5").side = 0;
-  w.run_until([&] { return w.recorded_routes().max_proposed == 2; });
-  w.run_until([&] { return w.recorded_routes().staged == 0; }, kSecond);
-  CHECK(w.recorded_routes().last_refusal.find("recorded after its time only") != std::string::npos);
-  w.run(100 * kMillisecond);  // all have heard of it
+  w.run_until([&] { return w.recorded().max_proposed == 2; });
+  w.run_until([&] { return w.recorded().staged == 0; }, kSecond);
+  CHECK(w.recorded().last_refusal.find("recorded after its time only") != std::string::npos);
+  w.run(100 * kMillisecond);  // until all have the update
   w.offer("m6", table(2));
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
   w.check_overlap();
 }
 
-TEST_CASE("in a partition the side with the voters goes on, the other is fenced until it heals") {
+TEST_CASE("in a partition the side with the voters continues, the other is fenced until it heals") {
   ActivatedNetwork w;
   for (const char* m : {"m6", "m7", "m8"}) w.members.at(m).side = 1;
   w.run(2 * kSecond);
@@ -291,7 +290,7 @@
   w.check_overlap();
 }
 
-TEST_CASE("when_alone keep serves by the old table, says so and counts") {
+TEST_CASE("when_alone keep serves by the old table and counts such calls") {
   ActivatedNetwork w(1, [](Settings& s) { s.when_alone = WhenAlone::keep; });
   auto& cut = w.members.at("m7");
   cut.side = 1;
@@ -301,13 +300,13 @@
   CHECK(cut.mode == PlacementMode::alone);
   CHECK(cut.routes->counts().alone > 0);
   CHECK(cut.routes->route(w.clock(cut), "", "", "7").version == 1);
-  w.restart("m7");  // one that holds no table has none to keep to
+  w.restart("m7");  // a restarted balancer has no table to keep
   w.run(kSecond);
   CHECK(cut.mode == PlacementMode::fenced);
   cut.side = 0;
   w.run(kSecond);
   CHECK(w.all_place_by(2));
-  // A grant may name a version whose table has not come yet: the newest that is held is kept to.
+  // A grant may name a version whose table has not been received: the newest available one is used.
   current_record() = &w.record;
   deliver_update("m7",
                  {0, Grant{900'000'000'000'000, 0, w.record.now + 500 * kMillisecond, 0}, 9, 1'000'000'000});
@@ -317,13 +316,13 @@
   CHECK(cut.routes->route(w.clock(cut), "", "", "7").version == 2);
 }
 
-TEST_CASE("a member that starts in the middle places by the version that is in force, or nothing") {
+TEST_CASE("a member that starts during an activation is fenced or places by the version in force") {
   for (int phase = 0; phase < 2; ++phase) {
     ActivatedNetwork w;
     w.kill("m8");
     w.run(2 * kSecond);
     w.offer("m5", table(2));
-    w.run_until([&] { return phase ? w.recorded_routes().next == 2 : w.recorded_routes().staged == 2; });
+    w.run_until([&] { return phase ? w.recorded().next == 2 : w.recorded().staged == 2; });
     w.restart("m8");
     CHECK(w.members.at("m8").routes->placement_mode(w.clock(w.members.at("m8"))) == PlacementMode::fenced);
     w.run(3 * kSecond);
@@ -332,7 +331,7 @@
   }
 }
 
-TEST_CASE("under chance of every kind no call by an older version comes after one by a newer") {
+TEST_CASE("under random faults no call by an older version comes after one by a newer") {
   const char* seeds_text = std::getenv("FLEET_ROUTES_SEEDS");
   const std::uint64_t seeds = seeds_text ? std::strtoull(seeds_text, nullptr, 10) : 300;
   std::uint64_t placed = 0, fenced = 0, switched = 0, converged = 0;
@@ -386,7 +385,7 @@
     }
     r.loss = 0;
     w.run(6 * kSecond);
-    // What was asked for is not always reached; that all are at one place is.
+    // Not every offered version comes into force, but all balancers use the same one.
     CHECK(w.all_place_by(r.ledger.routes.in_force));
     converged += w.all_place_by(r.ledger.routes.in_force);
     worst = std::max(worst, w.overlap());
@@ -394,11 +393,11 @@
     for (auto& [m, b] : w.members) placed += b.placed, fenced += b.fenced;
   }
   std::printf(
-      "%llu seeds: %llu switches, %llu calls placed, %llu fenced, overlap at most %.1f ms, settled %llu\n",
+      "%llu seeds: %llu switches, %llu calls placed, %llu fenced, overlap at most %.1f ms, converged %llu\n",
       static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(switched),
       static_cast<unsigned long long>(placed), static_cast<unsigned long long>(fenced),
       static_cast<double>(worst) / 1e3, static_cast<unsigned long long>(converged));
-  CHECK(switched > seeds);  // the load reaches what it is to try
+  CHECK(switched > seeds);  // the faults leave room for activations
 }
 
 }  // namespace marblehub::fleet::test
--- a/tests/fleet/routes/fake_record.cpp
+++ b/tests/fleet/routes/fake_record.cpp
@@ -4,6 +4,7 @@
 
 namespace marblehub::fleet {
 
+// One member's copy of the fake record.
 struct Record::State {
   Settings settings;
   std::uint64_t incarnation, next_number = 1;
@@ -24,7 +25,7 @@
 }
 }  // namespace test
 
-// The one place that sees into a member's record.
+// Delivers updates to the private state of the members' records.
 struct RecordListeners {
   static std::map<std::string, std::function<void(const test::LeaderUpdate&)>>& listeners() {
     static thread_local std::map<std::string, std::function<void(const test::LeaderUpdate&)>> all;
@@ -84,7 +85,7 @@
   const Time clock = clock_of(leader);
   const RouteState& r = ledger.routes;
   Grant g{r.in_force, r.next, clock + settings.lease, r.activation_time};
-  for (std::size_t i = committed; i < log.size(); ++i)  // appended: grants of what stands end before it
+  for (std::size_t i = committed; i < log.size(); ++i)  // an appended activation bounds the grants
     if (auto* a = std::get_if<ActivateRoutes>(&log[i].command.body); a && r.next == 0)
       g.until = std::min(g.until, a->activation_time);
   return g;
@@ -94,7 +95,7 @@
   if (leader.empty() || !has_majority(leader)) {
     if (election_at == 0) election_at = now + between(250 * kMillisecond, 600 * kMillisecond);
     if (now < election_at) {
-      // It still grants to those that it reaches, for as long as nobody else can lead.
+      // The old leader still grants to the members that it reaches until another can be elected.
     } else {
       std::vector<std::string> able;
       for (const std::string& v : voters)
@@ -103,7 +104,7 @@
       leader = able[static_cast<std::size_t>(between(0, static_cast<Time>(able.size()) - 1))];
       ++term;
       election_at = 0;
-      if (uniform() < 0.5) log.resize(committed);  // what no majority had may be lost, or be kept
+      if (uniform() < 0.5) log.resize(committed);  // entries without a majority may be lost or kept
     }
   } else {
     election_at = 0;
@@ -141,7 +142,7 @@
   RecordListeners::listeners()[settings.name] = [s](const test::LeaderUpdate& update) {
     for (; s->applied < update.committed; ++s->applied)
       apply(s->ledger, s->applied + 1, s->network->log[s->applied].command);
-    if (update.serial <= s->serial) return;  // of an older one: late
+    if (update.serial <= s->serial) return;  // delayed
     s->serial = update.serial;
     s->term = update.term;
     s->grant = update.grant;
--- a/tests/fleet/routes/fake_record.h
+++ b/tests/fleet/routes/fake_record.h
@@ -1,5 +1,5 @@
-// A record as the tests need it: one log among members on a virtual network, with a leader that dies, moves
-// and is cut off, on the real rules of command.h. It stands in for src/fleet/record at link time.
+// A fake of the record: one log on a simulated network, with elections, lost majorities and partitions, and
+// with the real commands of command.h. It replaces src/fleet/record when the tests are linked.
 #pragma once
 
 #include <functional>
@@ -11,6 +11,7 @@
 
 namespace marblehub::fleet::test {
 
+/// The log, the leader and the network of all members. Time is simulated.
 struct FakeRecord {
   Settings settings;
   std::mt19937_64 rng{1};
@@ -19,24 +20,26 @@
   std::function<bool(const std::string&, const std::string&)> can_reach = [](auto&, auto&) { return true; };
   std::function<Time(const std::string&)> clock_of = [this](const std::string&) { return now; };
   std::function<void(const std::string&, const std::string&, Time)> heard = [](auto&, auto&, Time) {};
-  // Asleep, and to wake: what arrives waits in its sockets.
+  // Suspended: messages are delivered once the member is resumed.
   std::function<bool(const std::string&)> asleep = [](const std::string&) { return false; };
   double loss = 0, duplicate_rate = 0;
   Time min_delay = kMillisecond, max_delay = 8 * kMillisecond;
 
+  /// A command and the true time at which a majority has it.
   struct Entry {
     Command command;
-    Time committed_at;  // true time at which a majority has it
+    Time committed_at;
   };
   std::vector<Entry> log;
   std::size_t committed = 0;
-  Ledger ledger;  // of what is committed
+  Ledger ledger;  // of the committed entries
   std::string leader;
   std::uint64_t term = 1;
   std::vector<std::string> voters;
-  Time election_at = 0;  // of a leader that lost its majority: when another is elected
+  Time election_at = 0;  // set while the leader has no majority: the time of the next election
   std::uint64_t messages = 0;
 
+  /// An action at a time, in the order of its insertion.
   struct Event {
     Time when;
     std::uint64_t order;
@@ -53,15 +56,16 @@
   Time between(Time a, Time b) { return std::uniform_int_distribution<Time>(a, b)(rng); }
 
   void append(Command command);
-  void run_leader();  // every few milliseconds
+  /// Elects, commits and sends an update to all followers. Called every few milliseconds.
+  void run_leader();
   std::optional<Grant> grant() const;
   bool has_majority(const std::string& name) const;
-  std::set<std::string> followers;  // members that a leader tells
+  std::set<std::string> followers;  // members that the leader sends updates to
 };
 
-FakeRecord*& current_record();  // that of the world being built or run
+FakeRecord*& current_record();  // that of the network being built or run
 
-// What the fake record of a member is told by a leader.
+/// What the leader sends to each member's fake record.
 struct LeaderUpdate {
   std::size_t committed;
   std::optional<Grant> grant;
--- a/tests/fleet/routes/lease_test.cpp
+++ b/tests/fleet/routes/lease_test.cpp
@@ -6,6 +6,7 @@
 namespace {
 constexpr Time kStart = 1'800'000'000 * kSecond, kLease = 600 * kMillisecond, kBound = 50 * kMillisecond;
 
+// A lease with the default settings on a simulated clock.
 struct Fixture {
   Lease lease{Settings{}};
   Time now = kStart;
@@ -15,7 +16,7 @@
 };
 }  // namespace
 
-TEST_CASE("a lease is over its holder's bound early, and judged at the call") {
+TEST_CASE("a lease ends early by the clock error bound, and is evaluated at each call") {
   Fixture f;
   CHECK_FALSE(f.lease.evaluate(f.now).held);
   f.grant(1);
@@ -27,17 +28,17 @@
   CHECK(f.lease.evaluate(f.now).held);
 }
 
-TEST_CASE("the moment decides the version, by the holder's clock") {
+TEST_CASE("the activation time decides the version, by the holder's clock") {
   Fixture f;
   const Time activation_time = f.now + 100 * kMillisecond;
   f.grant(1, 2, activation_time);
   CHECK(f.lease.evaluate(activation_time - 1).version == 1);
   CHECK(f.lease.evaluate(activation_time).version == 2);
-  CHECK(f.lease.evaluate(activation_time - 1).version == 2);  // within the bound: it does not go back
+  CHECK(f.lease.evaluate(activation_time - 1).version == 2);  // a step back within the bound
   CHECK(f.lease.evaluate(activation_time).held);
 }
 
-TEST_CASE("a grant of an older version that comes late is not taken") {
+TEST_CASE("a delayed grant of an older version is ignored") {
   Fixture f;
   f.grant(1, 2, f.now);
   const Grant old{1, 0, f.now + kLease + 1, 0};
@@ -45,7 +46,7 @@
   CHECK(f.lease.evaluate(f.now).version == 2);
 }
 
-TEST_CASE("a step back of the clock fences until a new grant, the same again is none") {
+TEST_CASE("a step back of the clock fences until a new grant, not a repeated one") {
   Fixture f;
   f.grant(1);
   const Grant held{1, 0, f.now + kLease, 0};
@@ -54,31 +55,30 @@
   f.lease.update_grant(f.now - kSecond, held);
   CHECK_FALSE(f.lease.evaluate(f.now - kSecond).held);
   CHECK_FALSE(f.lease.evaluate(f.now).held);
-  // A leader's next grant is a second ahead of what this clock now shows: it is behind, and says so.
+  // The leader's next grant shows that this clock is a second behind.
   f.lease.update_grant(f.now - kSecond + 100, {1, 0, f.now + kLease + 100, 0});
   CHECK(f.lease.clock_off());
   CHECK_FALSE(f.lease.evaluate(f.now - kSecond + 100).held);
   f.now += kSecond;
-  f.grant(1);  // set right again
+  f.grant(1);  // the clock is corrected
   CHECK(f.lease.evaluate(f.now).held);
 }
 
-TEST_CASE("a clock that was ahead and is put back fences rather than place by the version before") {
+TEST_CASE("a clock that was ahead and is set back fences rather than place by the previous version") {
   Fixture f;
   const Time activation_time = f.now + 200 * kMillisecond;
   f.grant(1, 2, activation_time);
-  CHECK(f.lease.evaluate(f.now + 300 * kMillisecond).version == 2);  // ahead, and not found yet
-  CHECK_FALSE(f.lease.evaluate(f.now).held);                         // put back
+  CHECK(f.lease.evaluate(f.now + 300 * kMillisecond).version == 2);  // ahead, not detected yet
+  CHECK_FALSE(f.lease.evaluate(f.now).held);                         // set back
   f.now += kMillisecond;
   f.grant(1, 2, activation_time);
   CHECK_FALSE(f.lease.evaluate(f.now).held);
-  CHECK(f.lease.evaluate(f.now).version == 2);  // what it knows of is not forgotten
+  CHECK(f.lease.evaluate(f.now).version == 2);  // the newest version is not forgotten
   CHECK(f.lease.evaluate(activation_time).held);
   CHECK(f.lease.evaluate(activation_time).version == 2);
 }
 
-TEST_CASE(
-    "after a step back a grant alone, as a leader has of itself, is not enough where others are heard") {
+TEST_CASE("after a step back a grant alone, such as a leader's own, is not enough if peers were known") {
   Fixture f;
   f.grant(1);
   f.lease.observe_clock(f.now, "a", f.now - kMillisecond);
@@ -88,30 +88,30 @@
   f.now += kMillisecond;
   f.grant(1);
   CHECK_FALSE(f.lease.evaluate(f.now).held);
-  f.lease.observe_clock(f.now, "a", f.now + 300 * kMillisecond);  // the others' time went on
+  f.lease.observe_clock(f.now, "a", f.now + 300 * kMillisecond);  // the peers' clocks have not stepped back
   CHECK_FALSE(f.lease.evaluate(f.now).held);
   CHECK(f.lease.clock_off());
   f.now += 3 * kSecond;
   f.grant(1);
-  f.lease.observe_clock(f.now, "a", f.now - kMillisecond);  // set right, and heard
+  f.lease.observe_clock(f.now, "a", f.now - kMillisecond);  // corrected, and a peer's message received
   CHECK(f.lease.evaluate(f.now).held);
 }
 
-TEST_CASE("a clock off against most of those heard fences; one off by itself does not") {
+TEST_CASE("a clock that differs from most peers fences, one peer that differs does not") {
   Fixture f;
   f.grant(1);
   for (Time sign : {1, -1}) {
     for (const char* peer : {"a", "b", "c"}) f.lease.observe_clock(f.now, peer, f.now - kMillisecond);
     f.lease.observe_clock(f.now, "d", f.now - sign * kSecond);
     CHECK_FALSE(f.lease.clock_off());
-    f.now += 3 * kSecond;  // all heard before is forgotten
+    f.now += 3 * kSecond;  // the windows have passed
     f.lease.observe_clock(f.now, "a", f.now - kMillisecond);
     for (const char* peer : {"b", "c"}) f.lease.observe_clock(f.now, peer, f.now - sign * kSecond);
     CHECK(f.lease.clock_off());
     f.grant(1);
     CHECK_FALSE(f.lease.evaluate(f.now).held);
     for (const char* peer : {"b", "c"}) f.lease.observe_clock(f.now, peer, f.now - kMillisecond);
-    if (sign > 0) CHECK_FALSE(f.lease.clock_off());  // those were late, as after a sleep
+    if (sign > 0) CHECK_FALSE(f.lease.clock_off());  // those messages were delayed
     f.now += 3 * kSecond;
   }
 }
--- a/tests/fleet/routes/node_network.h
+++ b/tests/fleet/routes/node_network.h
@@ -1,4 +1,4 @@
-// Whole nodes, as service drives them, on a virtual network: view, record and routes together.
+// Whole nodes on a simulated network: view, record and routes together.
 #pragma once
 
 #include <cstdio>
@@ -12,7 +12,7 @@
 
 namespace marblehub::fleet::test {
 
-// A disk that keeps what it is told, over the deaths of its process.
+/// A disk in memory that outlives the node that uses it.
 struct MapDisk : Disk {
   Contents kept;
   bool store_voting_state(const VotingState& state) override {
@@ -38,7 +38,9 @@
   Contents load() override { return kept; }
 };
 
+/// The nodes, their clocks, and a network that loses, duplicates, delays and partitions.
 struct NodeNetwork {
+  /// A node, its clock offset, and how it last placed a call.
   struct Member {
     Settings settings;
     MapDisk disk;
@@ -50,7 +52,7 @@
     PlacementMode mode = PlacementMode::fenced;
   };
   std::map<std::string, Member> members;
-  std::map<std::string, std::string> name_by_address;  // by address
+  std::map<std::string, std::string> name_by_address;
   Time now = 1'800'000'000 * kSecond;
   std::mt19937_64 rng;
   double loss = 0, duplicate_rate = 0;
@@ -59,6 +61,7 @@
   std::map<std::uint64_t, Time> first, last;
   std::map<std::uint64_t, std::map<std::string, Time>> first_at;
 
+  /// A message on its way.
   struct Event {
     Time when;
     std::uint64_t order;
--- a/tests/fleet/routes/node_test.cpp
+++ b/tests/fleet/routes/node_test.cpp
@@ -1,4 +1,4 @@
-// Whole nodes on a virtual network: the hard cases of the routes over the true view and record.
+// Whole nodes on a simulated network: failures during activations, over the real view and record.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
@@ -14,6 +14,7 @@
          R"( "rules": [{"area": "7", "pool": ")" + pool + R"("}], "otherwise": "south"})";
 }
 
+// Nine nodes with version 1 in force everywhere.
 struct ActivatedNetwork : NodeNetwork {
   explicit ActivatedNetwork(std::uint64_t seed = 1, std::function<void(Settings&)> change = {})
       : NodeNetwork(9, seed, change) {
@@ -53,7 +54,7 @@
   CHECK(newest - oldest < 20 * kMillisecond);
 }
 
-TEST_CASE("nodes: a proposer killed between the phases, or at the moment") {
+TEST_CASE("nodes: a proposer killed between the phases, or at the activation time") {
   for (bool late : {false, true}) {
     CAPTURE(late);
     ActivatedNetwork w;
@@ -67,7 +68,7 @@
   }
 }
 
-TEST_CASE("nodes: a leader killed between the phases, or at the moment") {
+TEST_CASE("nodes: a leader killed between the phases, or at the activation time") {
   for (int phase = 0; phase < 3; ++phase)
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       CAPTURE(phase, seed);
@@ -85,7 +86,7 @@
     }
 }
 
-TEST_CASE("nodes: a member asleep across the moment") {
+TEST_CASE("nodes: a member suspended across the activation time") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
   w.run_until([&] { return w.seen("m3").staged == 2 && !w.seen("m3").waited_for.count("m7"); });
@@ -99,7 +100,7 @@
   w.all_by(2);
 }
 
-TEST_CASE("nodes: messages of an old generation, delivered after a restart, bring no old version back") {
+TEST_CASE("nodes: messages sent before a restart and delivered after it restore no old version") {
   ActivatedNetwork w;
   std::vector<NodeNetwork::Event> old;
   w.on_send = [&](const NodeNetwork::Event& e) {
@@ -123,10 +124,10 @@
   w.all_by(std::max(routes.in_force, routes.next));
 }
 
-TEST_CASE("nodes: the halves of a partition, and its heal") {
+TEST_CASE("nodes: a partition into halves, and its end") {
   ActivatedNetwork w;
   for (const char* m : {"m5", "m6", "m7", "m8"}) w.members.at(m).side = 1;
-  w.run(16 * kSecond);  // the view gives half of nine up later than one: each accuser has fewer to ask
+  w.run(16 * kSecond);  // the view takes longer to give up half of the members than one
   w.offer("m4", table(2));
   w.run(2 * kSecond);
   {
@@ -139,7 +140,7 @@
   w.all_by(2);
 }
 
-TEST_CASE("nodes: a majority of the voters lost, and back from their disks") {
+TEST_CASE("nodes: a majority of the voters lost and restarted from their disks") {
   ActivatedNetwork w;
   w.kill("m1");
   w.kill("m2");
@@ -155,7 +156,7 @@
   w.all_by(2);
 }
 
-TEST_CASE("nodes: clocks off within the bound go along, one beyond it fences itself") {
+TEST_CASE("nodes: a clock off within the bound takes part, one beyond it is fenced") {
   for (Time sign : {1, -1}) {
     CAPTURE(sign);
     NodeNetwork near(9, 5,
@@ -179,7 +180,7 @@
   }
 }
 
-TEST_CASE("nodes: under chance no call by an older version comes after one by a newer") {
+TEST_CASE("nodes: under random faults no call by an older version comes after one by a newer") {
   const char* seeds_text = std::getenv("FLEET_NODES_SEEDS");
   const std::uint64_t seeds = seeds_text ? std::strtoull(seeds_text, nullptr, 10) : 20;
   std::uint64_t switched = 0, placed = 0, fenced = 0;
--- a/tests/fleet/routes/routes_network.h
+++ b/tests/fleet/routes/routes_network.h
@@ -1,5 +1,5 @@
-// Many balancers' Routes on one virtual clock, over the agreed record of the tests, and the verdict from
-// outside: when, in true time, was a call placed by which version.
+// The Routes of many balancers on one simulated clock, over the fake record, with the true time of the first
+// and last call placed by each version.
 #pragma once
 
 #include <map>
@@ -27,7 +27,9 @@
 
 inline std::vector<ListedWorker> listed() { return {{"w-1", "n", "t", "0"}, {"w-2", "s", "t", "0"}}; }
 
+/// The balancers, their clocks and partitions, and what each has placed.
 struct RoutesNetwork {
+  /// A balancer's fake record and Routes, and how it last placed a call.
   struct Balancer {
     Settings settings;
     Time offset = 0, asleep_until = 0;
@@ -156,7 +158,7 @@
       if (until / tick % (100 * kMillisecond / tick) == 0) gossip();
       for (auto& [name, b] : members) {
         if (!awake(name)) continue;
-        // The order of a step and a call at one moment is anybody's.
+        // A step and a call at the same time may come in either order.
         if (record.uniform() < 0.5) place(name, b);
         if (clock(b) >= b.due) step(name, b);
         place(name, b);
@@ -173,7 +175,8 @@
     }
   }
 
-  // By how much a call by an older version came after one by a newer: at most the clock bound is promised.
+  // The longest time by which a call by an older version came after one by a newer. At most the clock error
+  // bound is guaranteed.
   Time overlap() const {
     Time worst = -kSecond * 1000;
     for (auto& [older, at] : last)
--- a/tests/fleet/routes/table_test.cpp
+++ b/tests/fleet/routes/table_test.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 
 static thread_local std::uint64_t allocations = 0;
-#ifndef __SANITIZE_ADDRESS__  // which has allocators of its own, and takes these for a mix of two
+#ifndef __SANITIZE_ADDRESS__  // the sanitizer has its own allocators and would report a mismatch
 void* operator new(std::size_t size) {
   ++allocations;
   if (void* p = std::malloc(size)) return p;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("what is wrong with a table is refused with file and key") {
+TEST_CASE("an invalid table is refused with file and key") {
   CHECK(why(with(R"({"class": "ride", "area": "7", "pool": "north", "fallback": "south"})")).empty());
   const std::pair<std::string, std::string> wrong[] = {
       {with(R"({"area": "7", "pool": "north", "pol": "x"})"), "rules.0.pol: expected no such key"},
@@ -89,14 +89,14 @@
   CHECK(why(many(64)).find("pools: expected at most 63") != std::string::npos);
 }
 
-TEST_CASE("the example that is shipped is a table, and proposes nothing") {
+TEST_CASE("the sample routes.json is valid and proposes nothing") {
   std::ifstream file(MARBLEHUB_SOURCE "/deploy/routes.json");
   std::ostringstream text;
   text << file.rdbuf();
   CHECK(parse_and_check_table(text.str(), "deploy/routes.json", 7, {}, kListed).version == 0);
 }
 
-TEST_CASE("a worker carries the bits of its pools, and every worker one more") {
+TEST_CASE("a worker's mask has the bits of its pools and the bit of any worker") {
   Table table = parse_and_check_table(
       R"({"version": 1, "pools": [{"name": "n", "zones": ["n"]}, {"name": "both", "zones": ["n", "s"]},)"
       R"( {"name": "s-small", "zones": ["s"], "types": ["small"]}, {"name": "one", "workers": ["w-2"]}]})",
@@ -106,7 +106,7 @@
   CHECK((Route{}.pool & kAnyWorkerBit) != 0);
 }
 
-TEST_CASE("the first rule that fits is met, as by going through them all, without allocation") {
+TEST_CASE("the matcher finds the first matching rule, as a linear search does, without allocation") {
   for (std::uint32_t seed = 1; seed <= 30; ++seed) {
     std::mt19937 rng(seed);
     Table table;
@@ -116,22 +116,25 @@
     for (int i = 0; i < 200; ++i)
       table.rules.push_back({name(3), name(4), name(30), "p" + std::to_string(rng() % 20),
                              rng() % 2 ? "p" + std::to_string(rng() % 20) : ""});
-    // A covered rule is refused where tables are decoded; here it is taken out.
-    auto fits = [](const std::string& rule, const std::string& call) { return rule.empty() || rule == call; };
+    // Shadowed rules are removed, since they would be refused when a table is decoded.
+    auto matches = [](const std::string& rule, const std::string& call) {
+      return rule.empty() || rule == call;
+    };
     std::vector<Rule> kept;
     for (const Rule& r : table.rules) {
-      bool covered = false;
+      bool shadowed = false;
       for (const Rule& k : kept)
-        covered |= fits(k.service_class, r.service_class) && fits(k.tenant, r.tenant) && fits(k.area, r.area);
-      if (!covered) kept.push_back(r);
+        shadowed |= matches(k.service_class, r.service_class) && matches(k.tenant, r.tenant) &&
+                    matches(k.area, r.area);
+      if (!shadowed) kept.push_back(r);
     }
     table.rules = kept;
     const Matcher matcher(table);
     for (int i = 0; i < 500; ++i) {
       const std::string c = name(4), t = name(5), a = name(40);
       std::size_t best = 0;
-      while (best < kept.size() &&
-             !(fits(kept[best].service_class, c) && fits(kept[best].tenant, t) && fits(kept[best].area, a)))
+      while (best < kept.size() && !(matches(kept[best].service_class, c) && matches(kept[best].tenant, t) &&
+                                     matches(kept[best].area, a)))
         ++best;
       const std::uint64_t before = allocations;
       const Route route = matcher.route(c, t, a);
