--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -16,8 +16,8 @@
     run(2 * kSecond);
     REQUIRE(all_place_by(1));
   }
-  const RouteState& recorded() const { return record.ledger.routes; }
-  void run_until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
+  const RouteState& routes() const { return record.ledger.routes; }
+  void until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
     for (Time end = record.now + max_wait; !reached() && record.now < end;) run(5 * kMillisecond);
     REQUIRE(reached());
   }
@@ -43,11 +43,11 @@
 TEST_CASE("a proposer killed between the phases leaves an activation that is aborted at the time-out") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded().staged == 2; });
+  w.until([&] { return w.routes().staged == 2; });
   w.kill("m5");
   w.run(5 * kSecond);
   CHECK(w.all_place_by(1));
-  CHECK(w.recorded().staged == 0);
+  CHECK(w.routes().staged == 0);
   CHECK(w.members.at("m1").routes->last_refusal().find("version 2 aborted") == 0);
   w.offer("m6", table(2));  // the same version again, at another member
   w.run(2 * kSecond);
@@ -58,8 +58,8 @@
 TEST_CASE("a proposer killed at the recorded activation time changes nothing") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded().next == 2; });
-  w.run_until([&] { return w.record.now >= w.recorded().activation_time - 5 * kMillisecond; });
+  w.until([&] { return w.routes().next == 2; });
+  w.until([&] { return w.record.now >= w.routes().activation_time - 5 * kMillisecond; });
   w.kill("m5");
   w.run(2 * kSecond);
   CHECK(w.all_place_by(2));
@@ -72,13 +72,12 @@
       CAPTURE(phase, seed);
       ActivatedNetwork w(seed);
       w.offer("m5", table(2));
-      w.run_until([&] { return phase == 0 ? w.recorded().staged == 2 : w.recorded().next == 2; });
-      if (phase == 2)
-        w.run_until([&] { return w.record.now >= w.recorded().activation_time - 5 * kMillisecond; });
+      w.until([&] { return phase == 0 ? w.routes().staged == 2 : w.routes().next == 2; });
+      if (phase == 2) w.until([&] { return w.record.now >= w.routes().activation_time - 5 * kMillisecond; });
       w.kill(w.record.leader);
       w.run(8 * kSecond);
-      CHECK(w.all_place_by(w.recorded().in_force));
-      if (phase > 0) CHECK(w.recorded().in_force == 2);
+      CHECK(w.all_place_by(w.routes().in_force));
+      if (phase > 0) CHECK(w.routes().in_force == 2);
       w.check_overlap();
     }
 }
@@ -86,7 +85,7 @@
 TEST_CASE("a member suspended across the activation time is fenced, then places by the new version") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded().staged == 2 && !w.recorded().waited_for.count("m7"); });
+  w.until([&] { return w.routes().staged == 2 && !w.routes().waited_for.count("m7"); });
   w.sleep("m7", 2500 * kMillisecond);
   w.run(2490 * kMillisecond);
   CHECK(w.last.count(2) == 1);
@@ -145,13 +144,13 @@
 TEST_CASE("a newer version replaces one whose activation is not complete, or follows it") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded().staged == 2; });
+  w.until([&] { return w.routes().staged == 2; });
   w.offer("m6", table(3));
   w.run(3 * kSecond);
   CHECK(w.all_place_by(3));
   ActivatedNetwork after;  // or follows it after its activation time
   after.offer("m5", table(2));
-  after.run_until([&] { return after.recorded().next == 2; });
+  after.until([&] { return after.routes().next == 2; });
   after.offer("m6", table(3));
   after.run(3 * kSecond);
   CHECK(after.all_place_by(3));
@@ -176,10 +175,10 @@
   w.kill("m7");
   w.offer("m5", table(2));  // the member is still in the view
   w.run(500 * kMillisecond);
-  CHECK(w.recorded().waited_for == std::set<std::string>{"m7"});
+  CHECK(w.routes().waited_for == std::set<std::string>{"m7"});
   w.run(2500 * kMillisecond);
   CHECK(w.all_place_by(2));
-  CHECK(w.recorded().last_refusal.empty());
+  CHECK(w.routes().last_refusal.empty());
   w.check_overlap();
 }
 
@@ -189,13 +188,13 @@
     w.record.append({{"by-hand", 1, ++number}, std::move(body)});
   };
   say(ProposeRoutes{2, table(2), {"m7", "ghost"}, w.record.now});
-  w.run_until([&] { return w.recorded().waited_for == std::set<std::string>{"ghost"}; });
+  w.until([&] { return w.routes().waited_for == std::set<std::string>{"ghost"}; });
   w.record.followers.erase("m7");
   say(AbortRoutes{2, "by hand"});
   say(ProposeRoutes{2, table(2), {"m7"}, w.record.now});
-  w.run_until([&] { return w.recorded().waited_for == std::set<std::string>{"m7"}; });
+  w.until([&] { return w.routes().waited_for == std::set<std::string>{"m7"}; });
   w.record.followers.insert("m7");
-  w.run_until([&] { return w.recorded().staged == 2 && w.recorded().waited_for.empty(); });
+  w.until([&] { return w.routes().staged == 2 && w.routes().waited_for.empty(); });
 }
 
 TEST_CASE("a text taken before is ignored, and not refused once its version is outdated") {
@@ -240,18 +239,18 @@
 TEST_CASE("the loss of a majority of the voters fences all and aborts a staged activation") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.recorded().staged == 2; });
+  w.until([&] { return w.routes().staged == 2; });
   w.kill("m1");
   w.kill("m2");
   w.run(4 * kSecond);
   for (auto& [name, b] : w.members)
     if (b.up) CHECK(b.mode == PlacementMode::fenced);
-  CHECK(w.recorded().next == 0);
+  CHECK(w.routes().next == 0);
   w.restart("m1");
   w.restart("m2");
   w.run(6 * kSecond);
-  CHECK(w.recorded().staged == 0);
-  CHECK(w.all_place_by(w.recorded().in_force));
+  CHECK(w.routes().staged == 0);
+  CHECK(w.all_place_by(w.routes().in_force));
   w.check_overlap();
 }
 
@@ -260,11 +259,11 @@
   w.offer("m5", table(2));
   w.members.at("m5").side = 1;  // its proposal is not delivered
   w.run(w.record.settings.stage + kSecond);
-  CHECK(w.recorded().max_proposed == 1);
+  CHECK(w.routes().max_proposed == 1);
   w.members.at("m5").side = 0;
-  w.run_until([&] { return w.recorded().max_proposed == 2; });
-  w.run_until([&] { return w.recorded().staged == 0; }, kSecond);
-  CHECK(w.recorded().last_refusal.find("recorded after its time only") != std::string::npos);
+  w.until([&] { return w.routes().max_proposed == 2; });
+  w.until([&] { return w.routes().staged == 0; }, kSecond);
+  CHECK(w.routes().last_refusal.find("recorded after its time only") != std::string::npos);
   w.run(100 * kMillisecond);  // until all have the update
   w.offer("m6", table(2));
   w.run(2 * kSecond);
@@ -308,8 +307,7 @@
   CHECK(w.all_place_by(2));
   // A grant may name a version whose table has not been received: the newest available one is used.
   current_record() = &w.record;
-  deliver_update("m7",
-                 {0, Grant{900'000'000'000'000, 0, w.record.now + 500 * kMillisecond, 0}, 9, 1'000'000'000});
+  deliver("m7", {0, Grant{900'000'000'000'000, 0, w.record.now + 500 * kMillisecond, 0}, 9, 1'000'000'000});
   Outbox out;
   cut.routes->step(w.clock(cut), *cut.record, {"m7"}, out);
   CHECK(cut.routes->placement_mode(w.clock(cut)) == PlacementMode::alone);
@@ -322,7 +320,7 @@
     w.kill("m8");
     w.run(2 * kSecond);
     w.offer("m5", table(2));
-    w.run_until([&] { return phase ? w.recorded().next == 2 : w.recorded().staged == 2; });
+    w.until([&] { return phase ? w.routes().next == 2 : w.routes().staged == 2; });
     w.restart("m8");
     CHECK(w.members.at("m8").routes->placement_mode(w.clock(w.members.at("m8"))) == PlacementMode::fenced);
     w.run(3 * kSecond);
@@ -385,8 +383,7 @@
     }
     r.loss = 0;
     w.run(6 * kSecond);
-    // Not every offered version comes into force, but all balancers use the same one.
-    CHECK(w.all_place_by(r.ledger.routes.in_force));
+    CHECK(w.all_place_by(r.ledger.routes.in_force));  // not necessarily the newest offered version
     converged += w.all_place_by(r.ledger.routes.in_force);
     worst = std::max(worst, w.overlap());
     switched += w.first.size() - 1;
--- a/tests/fleet/routes/fake_record.cpp
+++ b/tests/fleet/routes/fake_record.cpp
@@ -35,7 +35,7 @@
 
 namespace test {
 
-void deliver_update(const std::string& member, const LeaderUpdate& update) {
+void deliver(const std::string& member, const LeaderUpdate& update) {
   auto it = RecordListeners::listeners().find(member);
   if (it != RecordListeners::listeners().end()) it->second(update);
 }
@@ -123,9 +123,9 @@
   LeaderUpdate update{committed, grant(), term, ++order};
   for (const std::string& member : followers) {
     if (member == leader)
-      deliver_update(member, update);
+      deliver(member, update);
     else
-      send(leader, member, [member, update] { deliver_update(member, update); });
+      send(leader, member, [member, update] { deliver(member, update); });
   }
 }
 
--- a/tests/fleet/routes/fake_record.h
+++ b/tests/fleet/routes/fake_record.h
@@ -71,6 +71,6 @@
   std::optional<Grant> grant;
   std::uint64_t term, serial;
 };
-void deliver_update(const std::string& member, const LeaderUpdate& update);
+void deliver(const std::string& member, const LeaderUpdate& update);
 
 }  // namespace marblehub::fleet::test
--- a/tests/fleet/routes/node_test.cpp
+++ b/tests/fleet/routes/node_test.cpp
@@ -27,7 +27,7 @@
     REQUIRE(placing_by(1) == 9);
   }
   const RouteState& seen(const std::string& by) { return members.at(by).node->record().ledger().routes; }
-  void run_until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
+  void until(const std::function<bool()>& reached, Time max_wait = 5 * kSecond) {
     for (Time end = now + max_wait; !reached() && now < end;) run(2 * kMillisecond);
     INFO(describe());
     REQUIRE(reached());
@@ -59,8 +59,8 @@
     CAPTURE(late);
     ActivatedNetwork w;
     w.offer("m5", table(2));
-    w.run_until([&] { return (late ? w.seen("m3").next : w.seen("m3").staged) == 2; });
-    if (late) w.run_until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
+    w.until([&] { return (late ? w.seen("m3").next : w.seen("m3").staged) == 2; });
+    if (late) w.until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
     w.kill("m5");
     w.run(6 * kSecond);
     w.all_by(late ? 2 : 1, 8);
@@ -74,8 +74,8 @@
       CAPTURE(phase, seed);
       ActivatedNetwork w(seed);
       w.offer("m5", table(2));
-      w.run_until([&] { return (phase ? w.seen("m3").next : w.seen("m3").staged) == 2; });
-      if (phase == 2) w.run_until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
+      w.until([&] { return (phase ? w.seen("m3").next : w.seen("m3").staged) == 2; });
+      if (phase == 2) w.until([&] { return w.now >= w.seen("m3").activation_time - 4 * kMillisecond; });
       const std::string leader = w.leader();
       w.kill(leader);
       w.run(8 * kSecond);
@@ -89,7 +89,7 @@
 TEST_CASE("nodes: a member suspended across the activation time") {
   ActivatedNetwork w;
   w.offer("m5", table(2));
-  w.run_until([&] { return w.seen("m3").staged == 2 && !w.seen("m3").waited_for.count("m7"); });
+  w.until([&] { return w.seen("m3").staged == 2 && !w.seen("m3").waited_for.count("m7"); });
   w.sleep("m7", 2 * kSecond);
   w.run(2 * kSecond - 2 * kMillisecond);
   auto& slept = w.members.at("m7");
