--- a/src/quic/datagrams.cpp
+++ b/src/quic/datagrams.cpp
@@ -92,7 +92,7 @@
   }
 }
 
-Receiver::Found Receiver::receive(int fd, bool connected, const std::function<void(const Datagram&)>& each) {
+Receiver::Status Receiver::receive(int fd, bool connected, const std::function<void(const Datagram&)>& each) {
   for (std::size_t i = 0; i < kBatch; ++i) {
     msghdr& m = messages_[i].msg_hdr;
     m.msg_name = connected ? nullptr : &names_[i];
@@ -101,7 +101,7 @@
     m.msg_controllen = kControl;
   }
   int n = ::recvmmsg(fd, messages_.data(), kBatch, 0, nullptr);
-  if (n < 0) return errno == ECONNREFUSED ? Found::refused : Found::nothing;
+  if (n < 0) return errno == ECONNREFUSED ? Status::port_closed : Status::drained;
   for (int i = 0; i < n; ++i) {
     msghdr& m = messages_[static_cast<std::size_t>(i)].msg_hdr;
     if (m.msg_flags & MSG_TRUNC) continue;
@@ -118,7 +118,7 @@
       each(datagram);
     } while (!all.empty());
   }
-  return static_cast<std::size_t>(n) == kBatch ? Found::more : Found::nothing;
+  return static_cast<std::size_t>(n) == kBatch ? Status::more : Status::drained;
 }
 
 Sender::Entry& Sender::add(std::string_view payload, unsigned char ecn, const Endpoint& to) {
@@ -131,13 +131,13 @@
   return entry;
 }
 
-Sender::Sent Sender::flush(int fd) {
+Sender::FlushResult Sender::flush(int fd) {
   static std::array<mmsghdr, kMessages> messages;
   static std::array<std::array<iovec, 2 * kSegments>, kMessages> parts;
   static std::array<Control, kMessages> control;
   static std::array<sockaddr_in6, kMessages> names;
   static std::array<std::size_t, kMessages> held;  // datagrams in each message
-  Sent sent;
+  FlushResult result;
   std::size_t next = 0;
   while (next < count_) {
     std::size_t filled = 0, first = next;
@@ -180,14 +180,14 @@
     while (done < filled) {
       int n = ::sendmmsg(fd, messages.data() + done, static_cast<unsigned>(filled - done), MSG_NOSIGNAL);
       if (n > 0) {
-        for (int i = 0; i < n; ++i) sent.datagrams += held[done + static_cast<std::size_t>(i)];
+        for (int i = 0; i < n; ++i) result.datagrams += held[done + static_cast<std::size_t>(i)];
         done += static_cast<std::size_t>(n);
         again = false;
         continue;
       }
       if (n < 0 && errno == EINTR) continue;
       if (n < 0 && errno == ECONNREFUSED && !again) {  // told of an earlier one; this one has not gone out
-        sent.refused = again = true;
+        result.port_closed = again = true;
         continue;
       }
       if (n < 0 && held[done] > 1 && (errno == EINVAL || errno == EIO) && segmenting) {
@@ -197,13 +197,13 @@
         next = first + skipped;
         break;
       }
-      sent.dropped += held[done];  // a full buffer or a datagram too long: the loss is for QUIC to mend
+      result.dropped += held[done];  // a full buffer or a datagram too long: the loss is for QUIC to mend
       done += 1;
       again = false;
     }
   }
   count_ = 0;
-  return sent;
+  return result;
 }
 
 void send_now(int fd, std::string_view header, std::string_view payload, const Endpoint* to) {
--- a/src/quic/datagrams.h
+++ b/src/quic/datagrams.h
@@ -30,9 +30,9 @@
 class Receiver {
  public:
   Receiver();
-  enum class Found { nothing, more, refused };  // refused: the peer's port is closed (ICMP)
+  enum class Status { drained, more, port_closed };  // refused: the peer's port is closed (ICMP)
   // One batch of what has come. `more` where it was full.
-  Found receive(int fd, bool connected, const std::function<void(const Datagram&)>& each);
+  Status receive(int fd, bool connected, const std::function<void(const Datagram&)>& each);
 
  private:
   static constexpr std::size_t kBatch = 32, kBuffer = 65536, kControl = 64;
@@ -59,11 +59,11 @@
   explicit Sender(int family) : family_(family) {}  // of the socket: AF_INET or AF_INET6
   Entry& add(std::string_view payload, unsigned char ecn, const Endpoint& to = Endpoint());
   bool empty() const { return count_ == 0; }
-  struct Sent {
+  struct FlushResult {
     std::size_t datagrams = 0, dropped = 0;
-    bool refused = false;  // the peer's port was found closed
+    bool port_closed = false;  // the peer's port was found closed
   };
-  Sent flush(int fd);
+  FlushResult flush(int fd);
 
  private:
   const int family_;
--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -127,7 +127,7 @@
                                                    const std::string&, Time) {
   auto attempt = std::make_unique<Attempt>(*this, to);
   front.refresh_workers();
-  WorkerTable::Worker* at = front.workers_.named(worker);
+  WorkerTable::Worker* at = front.workers_.find_by_name(worker);
   if (!at || !at->address.is_specified()) {
     attempt->fail(Outcome::connect_failed);
     return attempt;
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -118,9 +118,9 @@
 void Front::receive() {
   now_ = loop_.now();
   for (int i = 0; i < kBatches; ++i) {
-    auto found = receiver_.receive(fd_.get(), false, [this](const Datagram& d) { from_client(d); });
+    auto status = receiver_.receive(fd_.get(), false, [this](const Datagram& d) { from_client(d); });
     flush();
-    if (found != Receiver::Found::more) break;
+    if (status != Receiver::Status::more) break;
   }
   now_ = 0;
 }
@@ -282,15 +282,15 @@
 }
 
 void Front::route(const IdCodec::Decoded& id, std::string_view bytes, const Datagram& datagram) {
-  WorkerTable::Worker* worker = workers_.of(id);
+  WorkerTable::Worker* worker = workers_.find_by_id(id);
   if (!worker) return unknown_id_.add();
   if (Flow* flow = linked(id.id); flow && flow->path) {
     flow->validated = true;
     return follow(*flow, bytes, datagram);
   }
-  if (workers_.dead(*worker)) {
+  if (workers_.is_unreachable(*worker)) {
     reset_for(id.id, bytes, datagram.from);
-    if (worker->gone || !workers_.may_send(*worker, now_)) return;
+    if (worker->deleted || !workers_.may_send(*worker, now_)) return;
   }
   Path* path = path_between(datagram.from, *worker);
   if (!path) return;
@@ -311,12 +311,12 @@
   flow.used = now_;
   if (!flow.path) return;
   WorkerTable::Worker& worker = flow.path->worker;
-  if (workers_.dead(worker)) {
+  if (workers_.is_unreachable(worker)) {
     auto header = parse(bytes);  // it was one: it has been parsed before
     auto id = ids_.codec().decode(header->destination, header->type != PacketType::short_header);
     if (id) reset_for(id->id, bytes, datagram.from);
     lose(flow, core::Outcome::reset);
-    if (worker.gone || !workers_.may_send(worker, now_) || !flow.path) return;
+    if (worker.deleted || !workers_.may_send(worker, now_) || !flow.path) return;
   }
   if (!(flow.path->client == datagram.from)) {
     Path* path = path_between(datagram.from, worker);
@@ -389,8 +389,8 @@
   paths_gauge_.set(static_cast<double>(all_paths_.size()));
   asking_gauge_.set(validation_.requires_retry());
   retiring_gauge_.set(static_cast<double>(ids_.retiring()));
-  auto closed = std::count_if(workers_.all().begin(), workers_.all().end(),
-                              [](const auto& worker) { return worker->closed && !worker->gone; });
+  auto closed = std::count_if(workers_.workers().begin(), workers_.workers().end(),
+                              [](const auto& worker) { return worker->port_closed && !worker->deleted; });
   closed_gauge_.set(static_cast<double>(closed));
   sockets_gauge_.set(
       static_cast<double>(settings_.forwarding == Forwarding::socket ? all_paths_.size() : shared_.size()));
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -109,15 +109,15 @@
   std::vector<Upstream*> lost;
   for (Upstream* upstream : dirty_) {
     upstream->dirty = false;
-    Sender::Sent sent = upstream->sender->flush(upstream->fd());
-    if (sent.dropped > 0) dropped_.add(static_cast<double>(sent.dropped));
-    if (sent.refused) lost.push_back(upstream);
+    Sender::FlushResult result = upstream->sender->flush(upstream->fd());
+    if (result.dropped > 0) dropped_.add(static_cast<double>(result.dropped));
+    if (result.port_closed) lost.push_back(upstream);
   }
   dirty_.clear();
   if (!to_clients_.empty()) {
-    Sender::Sent sent = to_clients_.flush(fd_.get());
-    out_.add(static_cast<double>(sent.datagrams));
-    if (sent.dropped > 0) dropped_.add(static_cast<double>(sent.dropped));
+    Sender::FlushResult result = to_clients_.flush(fd_.get());
+    out_.add(static_cast<double>(result.datagrams));
+    if (result.dropped > 0) dropped_.add(static_cast<double>(result.dropped));
   }
   for (Upstream* upstream : lost) worker_lost(*upstream);
 }
@@ -127,11 +127,11 @@
 void Front::from_upstream(Upstream& upstream) {
   now_ = loop_.now();
   for (int i = 0; i < kBatches && upstream.is_open(); ++i) {
-    auto found = receiver_.receive(upstream.fd(), true,
-                                   [this, &upstream](const Datagram& d) { from_worker(upstream, d); });
+    auto status = receiver_.receive(upstream.fd(), true,
+                                    [this, &upstream](const Datagram& d) { from_worker(upstream, d); });
     flush();
-    if (found == Receiver::Found::refused) worker_lost(upstream);
-    if (found != Receiver::Found::more) break;
+    if (status == Receiver::Status::port_closed) worker_lost(upstream);
+    if (status != Receiver::Status::more) break;
   }
   now_ = 0;
 }
@@ -147,7 +147,7 @@
     if (!header || header->local || header->destination.family() != listen_.family()) return malformed_.add();
     client = header->destination;
   }
-  workers_.heard(upstream.worker);
+  workers_.mark_port_open(upstream.worker);
   if (bytes.empty()) return malformed_.add();
   if (bytes.starts_with(kControl)) return control(upstream, client, bytes.substr(kControl.size()));
   if (bytes[0] & 0x80) return long_reply(upstream, bytes, client, datagram.ecn);
@@ -313,8 +313,8 @@
 void Front::worker_lost(Upstream& upstream) {
   lost_.add();
   WorkerTable::Worker& worker = upstream.worker;
-  if (!worker.closed) log::info("quic: the port of {} is closed", worker.name);
-  workers_.closed(worker, loop_.now());
+  if (!worker.port_closed) log::info("quic: the port of {} is closed", worker.name);
+  workers_.mark_port_closed(worker, loop_.now());
   if (upstream.only) {
     Flow* flow = upstream.only->flow;
     if (flow && flow->path == upstream.only)
--- a/src/quic/worker_table.cpp
+++ b/src/quic/worker_table.cpp
@@ -68,19 +68,19 @@
     if (!(address == worker->address)) {
       if (worker->address.is_specified()) moved.push_back(worker);
       worker->address = address;
-      worker->closed = false;
+      worker->port_closed = false;
     }
-    worker->gone = listed.health == marblehub::policy::Health::deleted;
+    worker->deleted = listed.health == marblehub::policy::Health::deleted;
   }
   by_id_.clear();
   // Those that are there first: a gone one must not take the id of its replacement.
-  for (bool gone : {false, true})
+  for (bool deleted : {false, true})
     for (auto& worker : all_) {
-      if (worker->gone != gone) continue;
+      if (worker->deleted != deleted) continue;
       for (const IdConfig& config : configs) {
         Key key{config.rotation, ServerId(server_id_of(settings, worker->name, config))};
         auto [it, fresh] = by_id_.try_emplace(key, worker.get());
-        if (fresh || gone) continue;
+        if (fresh || deleted) continue;
         if (it->second)
           log::error("quic: {} and {} have the same server id: neither is routed to", it->second->name,
                      worker->name);
@@ -90,25 +90,25 @@
   return moved;
 }
 
-WorkerTable::Worker* WorkerTable::named(const std::string& name) {
+WorkerTable::Worker* WorkerTable::find_by_name(const std::string& name) {
   auto it = by_name_.find(name);
   return it == by_name_.end() ? nullptr : it->second;
 }
 
-WorkerTable::Worker* WorkerTable::of(const IdCodec::Decoded& id) {
+WorkerTable::Worker* WorkerTable::find_by_id(const IdCodec::Decoded& id) {
   auto it = by_id_.find(Key{id.rotation, id.server_id});
   return it == by_id_.end() ? nullptr : it->second;
 }
 
-void WorkerTable::closed(Worker& worker, Time now) {
-  worker.closed = true;
-  worker.tried_at = now;
+void WorkerTable::mark_port_closed(Worker& worker, Time now) {
+  worker.port_closed = true;
+  worker.last_attempt_at = now;
 }
 
 bool WorkerTable::may_send(Worker& worker, Time now) {
-  if (!worker.closed) return true;
-  if (now - worker.tried_at < kTryAgain) return false;
-  worker.tried_at = now;
+  if (!worker.port_closed) return true;
+  if (now - worker.last_attempt_at < kTryAgain) return false;
+  worker.last_attempt_at = now;
   return true;
 }
 
--- a/src/quic/worker_table.h
+++ b/src/quic/worker_table.h
@@ -47,27 +47,27 @@
     std::string name;
     std::size_t index = 0;  // grows with each worker that is met
     Endpoint address;
-    bool gone = false;
+    bool deleted = false;
     // Its port was found closed, and nothing has come from it since. It is tried again now and then.
-    bool closed = false;
-    Time tried_at = 0;
+    bool port_closed = false;
+    Time last_attempt_at = 0;
   };
 
   // Takes over a list of workers under settings and configs. Returns those whose address has changed.
   std::vector<Worker*> refresh(const std::unordered_map<std::string, core::Dispatcher::Worker>& list,
                                const QuicSettings& settings, const std::vector<IdConfig>& configs);
-  Worker* named(const std::string& name);
+  Worker* find_by_name(const std::string& name);
   // The worker that an id names; none where there is no such, or where two have the same server id.
-  Worker* of(const IdCodec::Decoded& id);
+  Worker* find_by_id(const IdCodec::Decoded& id);
 
   // A port was found closed, or something came from it again.
-  void closed(Worker& worker, Time now);
-  void heard(Worker& worker) { worker.closed = false; }
+  void mark_port_closed(Worker& worker, Time now);
+  void mark_port_open(Worker& worker) { worker.port_closed = false; }
   // Whether a datagram may go to it. To a closed port one goes through now and then, to see it come back.
   bool may_send(Worker& worker, Time now);
   // Whether the router may answer for it: only for one that certainly does not run.
-  bool dead(const Worker& worker) const { return worker.gone || worker.closed; }
-  const std::vector<std::unique_ptr<Worker>>& all() const { return all_; }
+  bool is_unreachable(const Worker& worker) const { return worker.deleted || worker.port_closed; }
+  const std::vector<std::unique_ptr<Worker>>& workers() const { return all_; }
 
  private:
   struct Key {
--- a/tests/quic/quic_settings_test.cpp
+++ b/tests/quic/quic_settings_test.cpp
@@ -128,29 +128,29 @@
   table.refresh(list, settings, settings.ids);
   auto worker_of = [&](const char* name) {
     std::string id = codec.encode(0, default_server_id(name, 4), "nonce!");
-    return table.of(*codec.decode(id, true));
+    return table.find_by_id(*codec.decode(id, true));
   };
   CHECK(worker_of("g-3") == nullptr);  // never listed by the registry: it may run
   WorkerTable::Worker* worker = worker_of("g-1");
   REQUIRE(worker);
   REQUIRE(worker_of("g-2"));
-  CHECK_FALSE(table.dead(*worker));
-  CHECK_FALSE(table.dead(*worker_of("g-2")));  // a draining worker is still reachable
-  table.closed(*worker, kStart);
-  CHECK(table.dead(*worker));
+  CHECK_FALSE(table.is_unreachable(*worker));
+  CHECK_FALSE(table.is_unreachable(*worker_of("g-2")));  // a draining worker is still reachable
+  table.mark_port_closed(*worker, kStart);
+  CHECK(table.is_unreachable(*worker));
   CHECK_FALSE(table.may_send(*worker, kStart + kSecond / 10));
   CHECK(table.may_send(*worker, kStart + kSecond / 2));  // one datagram, to detect that it runs again
   CHECK_FALSE(table.may_send(*worker, kStart + kSecond / 2));
-  table.heard(*worker);
-  CHECK_FALSE(table.dead(*worker));
+  table.mark_port_open(*worker);
+  CHECK_FALSE(table.is_unreachable(*worker));
   list["g-1"].health = Health::deleted;
   table.refresh(list, settings, settings.ids);
   CHECK(worker_of("g-1") == worker);
-  CHECK(table.dead(*worker));
+  CHECK(table.is_unreachable(*worker));
   // Listed again at another address: refresh() returns it, so that the front reopens its sockets.
   list["g-1"] = {"127.0.0.1:2001", Health::serving, 0};
   CHECK(table.refresh(list, settings, settings.ids) == std::vector<WorkerTable::Worker*>{worker});
-  CHECK_FALSE(table.dead(*worker));
+  CHECK_FALSE(table.is_unreachable(*worker));
   // A server id of a deleted worker goes to its replacement; an id of two running workers names neither.
   list["g-1"].health = Health::deleted;
   list["g-4"] = {"127.0.0.1:1004", Health::serving, 0};
