--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr int kMoveRepeats = 5;
-constexpr std::size_t kAmplification = 3;  // RFC 9000, 8.1
+constexpr int kMaxMoveRequests = 5;
+constexpr std::size_t kAmplificationFactor = 3;  // RFC 9000, 8.1
 
 }  // namespace
 
@@ -24,15 +24,15 @@
  public:
   Attempt(Flow& flow, core::Exchange& exchange) : flow_(flow), exchange_(exchange) {}
   ~Attempt() override {
-    if (flow_.standing || !flow_.path) return;
-    flow_.front.stop_trying(flow_);
+    if (flow_.is_established || !flow_.path) return;
+    flow_.front.remove_pending_attempt(flow_);
     flow_.front.drop_path(*std::exchange(flow_.path, nullptr));
   }
   void fail(Outcome why) {
-    failed_ = std::make_unique<net::TimerWatch>(flow_.front.loop_, [this, why] {
+    failure_timer_ = std::make_unique<net::TimerWatch>(flow_.front.loop_, [this, why] {
       exchange_.worker_ended(why, CloseKind::aborted);  // this ends with it
     });
-    failed_->start(0);
+    failure_timer_->start(0);
   }
   void deliver(std::string_view) override {}
   void hold(bool) override {}
@@ -42,7 +42,7 @@
  private:
   Flow& flow_;
   core::Exchange& exchange_;
-  std::unique_ptr<net::TimerWatch> failed_;
+  std::unique_ptr<net::TimerWatch> failure_timer_;
 };
 
 Flow::Flow(Front& f, const Header& header, const Endpoint& from)
@@ -52,10 +52,10 @@
       version(header.version),
       client(from) {}
 
-bool Flow::may_answer(std::size_t octets) {
+bool Flow::allow_reply(std::size_t bytes) {
   if (validated) return true;
-  if (octets_out + octets > kAmplification * octets_in) return false;
-  octets_out += octets;
+  if (bytes_sent + bytes > kAmplificationFactor * bytes_received) return false;
+  bytes_sent += bytes;
   return true;
 }
 
@@ -63,8 +63,8 @@
 // before a worker has replied, and nobody can make that up.
 bool Flow::timeout_blames_worker() const {
   if (validated || front.settings_.retry.mode == RetryMode::never) return true;
-  if (!beginning) return true;
-  const auto& flight = beginning->flight;
+  if (!handshake_state) return true;
+  const auto& flight = handshake_state->flight;
   return std::any_of(flight.begin(), flight.end(), [](const std::string& datagram) {
     for (std::string_view rest = datagram; !rest.empty();) {
       auto header = parse(rest);
@@ -77,49 +77,50 @@
 }
 
 void Flow::established(std::string_view receipt) {
-  standing = true;
-  beginning.reset();
-  if (may_answer(receipt.size())) return front.to_client(client, receipt);
-  front.over_budget_.add();
+  is_established = true;
+  handshake_state.reset();
+  if (allow_reply(receipt.size())) return front.send_to_client(client, receipt);
+  front.amplification_stops_.add();
 }
 
 void Flow::overload_reply(Time pause) {
-  answer(pause > 0 ? fmt::format("busy, come again after {} ms", (pause + 999) / 1000) : "busy");
+  close_call(pause > 0 ? fmt::format("busy, come again after {} ms", (pause + 999) / 1000) : "busy");
 }
 
-void Flow::failed(std::string_view) { answer("failed"); }
+void Flow::failed(std::string_view) { close_call("failed"); }
 
-void Flow::answer(std::string_view reason) {
+void Flow::close_call(std::string_view reason) {
   exchange = nullptr;
-  used = front.loop_.now();
-  if (by_tuple) {  // without its keys there is nothing to say it with
-    done = true;
+  last_used = front.loop_.now();
+  if (routed_by_address) {  // without its keys there is nothing to say it with
+    finished = true;
     return;
   }
   Header header;
   header.version = version;
-  beginning->flight = {};
-  header.destination = beginning->keys_from;
+  handshake_state->flight = {};
+  header.destination = handshake_state->initial_keys_id;
   header.source = client_source;
-  std::string& closing = beginning->closing = connection_close_packet(header, kConnectionRefused, reason);
+  std::string& close_packet = handshake_state->close_packet =
+      connection_close_packet(header, kConnectionRefused, reason);
   front.closes_.add();
-  if (may_answer(closing.size())) front.to_client(client, closing);
+  if (allow_reply(close_packet.size())) front.send_to_client(client, close_packet);
 }
 
 void Flow::redirect() {
   exchange = nullptr;
-  moves_left = kMoveRepeats;
-  ask_to_move();
+  move_requests_left = kMaxMoveRequests;
+  request_move();
 }
 
 void Flow::ended(CloseKind) {
   exchange = nullptr;
-  done = true;
+  finished = true;
 }
 
-void Flow::ask_to_move() {
-  if (moves_left-- <= 0 || !path) return;
-  front.moves_.add();
+void Flow::request_move() {
+  if (move_requests_left-- <= 0 || !path) return;
+  front.move_requests_.add();
   front.send_control(*path, "MOVE " + hex(first_destination));
 }
 
@@ -127,21 +128,21 @@
                                                    const std::string&, Time) {
   auto attempt = std::make_unique<Attempt>(*this, to);
   front.refresh_workers();
-  WorkerTable::Worker* at = front.workers_.find_by_name(worker);
-  if (!at || !at->address.is_specified()) {
+  WorkerTable::Worker* target = front.workers_.find_by_name(worker);
+  if (!target || !target->address.is_specified()) {
     attempt->fail(Outcome::connect_failed);
     return attempt;
   }
   // Our own want of a descriptor or of a place in the table says nothing of the worker; nor does a client
   // that another worker's Retry has bound.
-  path = bound ? nullptr : front.make_path(client, *at);
+  path = bound_by_retry ? nullptr : front.make_path(client, *target);
   if (!path) {
     attempt->fail(Outcome::not_sent);
     return attempt;
   }
   front.attach(*this, *path);
-  front.begin_trying(*this);
-  for (const std::string& datagram : beginning->flight) front.send_first(*this, datagram);
+  front.add_pending_attempt(*this);
+  for (const std::string& datagram : handshake_state->flight) front.send_handshake_datagram(*this, datagram);
   return attempt;
 }
 
--- a/src/quic/front.h
+++ b/src/quic/front.h
@@ -46,68 +46,69 @@
   using FlowKey = InlineBytes<41>;  // both ids of the client's Initials, the length of the first before them
   using PathKey = InlineBytes<26>;  // the client's address, and the worker's index
   static FlowKey flow_key(std::string_view destination, std::string_view source);
-  static FlowKey tuple_key(const Endpoint& client);
+  static FlowKey address_key(const Endpoint& client);
   static PathKey path_key(const Endpoint& client, const WorkerTable::Worker& worker);
   template <class Key, class Value>
   using Table = std::unordered_map<Key, Value, BytesHash, BytesEqual>;
 
   // ---- front.cpp
-  void receive();
-  void from_client(const Datagram& datagram);
-  void other_version(const Header& header, std::string_view bytes, const Endpoint& from);
+  void receive_from_clients();
+  void handle_client_datagram(const Datagram& datagram);
+  void send_version_negotiation(const Header& header, std::string_view bytes, const Endpoint& from);
   // `sound` is the part of the datagram that may be passed on.
-  void initial(const Header& header, const Datagram& datagram, std::string_view sound);
-  void new_call(const Header& header, const Datagram& datagram, std::string_view sound,
-                const std::optional<RetryToken>& token);
-  void waiting(Flow& flow, const Datagram& datagram, std::string_view bytes);
-  void by_tuple(std::string_view bytes, const Datagram& datagram);
+  void handle_initial(const Header& header, const Datagram& datagram, std::string_view packets);
+  void accept_initial(const Header& header, const Datagram& datagram, std::string_view packets,
+                      const std::optional<RetryToken>& token);
+  void handle_pending(Flow& flow, const Datagram& datagram, std::string_view bytes);
+  void route_by_address(std::string_view bytes, const Datagram& datagram);
   core::Call call() const;  // what every call of this front asks for
-  void take(std::shared_ptr<Flow> flow, FlowKey key, std::string_view bytes);
-  void route(const IdCodec::Decoded& id, std::string_view bytes, const Datagram& datagram);
-  void follow(Flow& flow, std::string_view bytes, const Datagram& datagram);
-  void stash(const Header& header, std::string_view bytes);
-  void reset_for(std::string_view id, std::string_view bytes, const Endpoint& to);
-  void to_client(const Endpoint& client, std::string_view bytes);
+  void begin_call(std::shared_ptr<Flow> flow, FlowKey key, std::string_view bytes);
+  void route_by_id(const IdCodec::Decoded& id, std::string_view bytes, const Datagram& datagram);
+  void forward(Flow& flow, std::string_view bytes, const Datagram& datagram);
+  void buffer_early_data(const Header& header, std::string_view bytes);
+  void send_stateless_reset(std::string_view id, std::string_view bytes, const Endpoint& to);
+  void send_to_client(const Endpoint& client, std::string_view bytes);
   void refresh_workers();
   void sweep();
 
   // ---- worker_side.cpp
-  void from_upstream(Upstream& upstream);
-  void from_worker(Upstream& upstream, const Datagram& datagram);
-  void long_reply(Upstream& upstream, std::string_view bytes, const Endpoint& client, unsigned char ecn);
+  void receive_from_worker(Upstream& upstream);
+  void handle_worker_datagram(Upstream& upstream, const Datagram& datagram);
+  void handle_long_header_reply(Upstream& upstream, std::string_view bytes, const Endpoint& client,
+                                unsigned char ecn);
   struct Reply {
     Flow* flow = nullptr;  // the call it answers; none where no one waits for it
     std::string frames;    // of an Initial, opened
   };
-  Reply answered_by(Upstream& upstream, const Header& header, std::string_view bytes, const Endpoint& client);
-  std::vector<Flow*> trying_at(Upstream& upstream, const Endpoint& client);
+  Reply match_reply(Upstream& upstream, const Header& header, std::string_view bytes, const Endpoint& client);
+  std::vector<Flow*> pending_attempts(Upstream& upstream, const Endpoint& client);
   void establish(Flow& flow, std::string_view bytes);
-  Flow* named(Upstream& upstream, const Endpoint& client, std::string_view id);
-  void pass_to_client(const Endpoint& client, Path* path, std::string_view bytes, unsigned char ecn);
-  void control(Upstream& upstream, const Endpoint& client, std::string_view words);
-  void worker_lost(Upstream& upstream);
-  void lose(Flow& flow, core::Outcome outcome);
-  Upstream* upstream_of(Path& path);
+  Flow* find_flow(Upstream& upstream, const Endpoint& client, std::string_view id);
+  void forward_to_client(const Endpoint& client, Path* path, std::string_view bytes, unsigned char ecn);
+  void handle_control(Upstream& upstream, const Endpoint& client, std::string_view message);
+  void handle_closed_port(Upstream& upstream);
+  void fail_call(Flow& flow, core::Outcome outcome);
+  Upstream* get_upstream(Path& path);
   void send_to_worker(Path& path, std::string_view bytes, unsigned char ecn);
-  void send_first(Flow& flow, std::string_view bytes);
-  void send_control(Path& path, const std::string& words);
-  ProxyHeader header_towards(const Path& path) const { return {false, path.client, listen_, {}, {}}; }
+  void send_handshake_datagram(Flow& flow, std::string_view bytes);
+  void send_control(Path& path, const std::string& message);
+  ProxyHeader proxy_header_for(const Path& path) const { return {false, path.client, listen_, {}, {}}; }
   void flush();
 
   // ---- tables.cpp
   Path* make_path(const Endpoint& client, WorkerTable::Worker& worker);
-  Path* path_between(const Endpoint& client, WorkerTable::Worker& worker);
-  Path* known_path(const Endpoint& client, const WorkerTable::Worker& worker);
-  void list_path(Path& path);
+  Path* find_or_make_path(const Endpoint& client, WorkerTable::Worker& worker);
+  Path* find_path(const Endpoint& client, const WorkerTable::Worker& worker);
+  void index_path(Path& path);
   void drop_path(Path& path);
-  void begin_trying(Flow& flow);
-  void stop_trying(Flow& flow);
+  void add_pending_attempt(Flow& flow);
+  void remove_pending_attempt(Flow& flow);
   void touch(Path& path);
-  void unchain(Path& path);
+  void remove_from_idle_list(Path& path);
   void attach(Flow& flow, Path& path);
   void detach(Flow& flow);
-  void link(Flow& flow, std::string_view id);
-  Flow* linked(std::string_view id);
+  void link_id(Flow& flow, std::string_view id);
+  Flow* find_linked(std::string_view id);
   void adopt(Path& path);
   void remove(Flow& flow);
 
@@ -123,33 +124,33 @@
   const Endpoint listen_;
   net::Fd fd_;
   net::IoWatch io_;
-  net::TimerWatch sweep_;
+  net::TimerWatch sweep_timer_;
   Receiver receiver_;
   Sender to_clients_;
-  std::vector<Upstream*> dirty_;  // with something to flush
-  Time now_ = 0;                  // of the batch under way
+  std::vector<Upstream*> unflushed_;  // with something to flush
+  Time now_ = 0;                      // of the batch under way
   bool closed_ = false;
 
   Table<FlowKey, std::shared_ptr<Flow>> flows_;
-  Table<ConnectionId, Flow*> links_;  // connection ids known to be of a flow
-  Table<PathKey, Path*> paths_;       // by client and worker
+  Table<ConnectionId, Flow*> flows_by_id_;  // connection ids known to be of a flow
+  Table<PathKey, Path*> paths_;             // by client and worker
   std::unordered_map<Path*, std::unique_ptr<Path>> all_paths_;
   Path *oldest_ = nullptr, *newest_ = nullptr;
-  std::unordered_map<WorkerTable::Worker*, std::unique_ptr<Upstream>> shared_;  // proxy-v2
+  std::unordered_map<WorkerTable::Worker*, std::unique_ptr<Upstream>> shared_upstreams_;  // proxy-v2
   // Calls that are out at a worker that has not replied yet, by client and worker: several may be alike.
-  std::unordered_multimap<PathKey, Flow*, BytesHash, BytesEqual> trying_;
-  struct Early {
+  std::unordered_multimap<PathKey, Flow*, BytesHash, BytesEqual> pending_attempts_;
+  struct EarlyData {
     std::vector<std::string> datagrams;
-    Time since;
+    Time received_at;
   };
-  std::unordered_map<std::string, Early> early_;  // 0-RTT that overtook its Initial
+  std::unordered_map<std::string, EarlyData> early_data_;  // 0-RTT that overtook its Initial
   std::uint64_t workers_version_ = 0;
-  bool stale_workers_ = true;
+  bool workers_stale_ = true;
 
-  metrics::Metric &in_, &out_, &malformed_, &unknown_id_, &unknown_version_, &full_, &lost_, &closes_,
-      &new_addresses_, &retries_, &bad_tokens_, &resets_, &dropped_, &over_budget_, &late_replies_, &adopted_,
-      &left_, &moves_, &calls_gauge_, &paths_gauge_, &asking_gauge_, &retiring_gauge_, &closed_gauge_,
-      &sockets_gauge_;
+  metrics::Metric &received_, &sent_, &malformed_, &unknown_id_, &unknown_version_, &table_full_,
+      &workers_lost_, &closes_, &address_changes_, &retries_, &bad_tokens_, &stateless_resets_, &send_drops_,
+      &amplification_stops_, &late_replies_, &adopted_, &left_, &move_requests_, &flows_gauge_, &paths_gauge_,
+      &retry_gauge_, &retiring_gauge_, &closed_gauge_, &sockets_gauge_;
 };
 
 }  // namespace marblehub::quic
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr int kBatches = 4;
+constexpr int kMaxBatches = 4;
 
 // Control messages between the router and a worker share the workers' sockets. No QUIC packet and no other
 // protocol that RFC 9443 tells apart by its first octet begins like this.
-constexpr std::string_view kControl = "\x04MARBLE1 ";
+constexpr std::string_view kControlPrefix = "\x04MARBLE1 ";
 
 // Whether a worker's first words turn the client away: a CONNECTION_CLOSE of type 0x1c with
 // CONNECTION_REFUSED (RFC 9000, 20.1), after nothing but padding and acknowledgements of one range.
-bool refuses(std::string_view frames) {
+bool is_refusal(std::string_view frames) {
   while (!frames.empty() && frames[0] == 0) frames.remove_prefix(1);
   if (!frames.empty() && frames[0] == 2) {
     frames.remove_prefix(1);
@@ -38,7 +38,10 @@
 // ---- Sockets ---------------------------------------------------------------------------------------
 
 Upstream::Upstream(Front& f, WorkerTable::Worker& w, Path* o)
-    : front(f), worker(w), only(o), io_(f.loop_, [this](int) { front.from_upstream(*this); }) {}
+    : front(f),
+      worker(w),
+      dedicated_path(o),
+      io_(f.loop_, [this](int) { front.receive_from_worker(*this); }) {}
 
 bool Upstream::open() {
   fd_ = connected_socket(worker.address);
@@ -52,96 +55,98 @@
   io_.stop();
   fd_.reset();
   sender.reset();
-  dirty = false;
+  unflushed = false;
 }
 
 // The socket that a path goes by, opened where it is not yet; none for want of a descriptor or an address.
-Upstream* Front::upstream_of(Path& path) {
-  std::unique_ptr<Upstream>& at =
-      settings_.forwarding == Forwarding::socket ? path.own : shared_[&path.worker];
-  if (!at)
-    at = std::make_unique<Upstream>(*this, path.worker,
-                                    settings_.forwarding == Forwarding::socket ? &path : nullptr);
-  if (!at->is_open() &&
-      (!path.worker.address.is_specified() || !descriptors_.make_one_available() || !at->open()))
+Upstream* Front::get_upstream(Path& path) {
+  std::unique_ptr<Upstream>& slot =
+      settings_.forwarding == Forwarding::socket ? path.dedicated_upstream : shared_upstreams_[&path.worker];
+  if (!slot)
+    slot = std::make_unique<Upstream>(*this, path.worker,
+                                      settings_.forwarding == Forwarding::socket ? &path : nullptr);
+  if (!slot->is_open() &&
+      (!path.worker.address.is_specified() || !descriptors_.make_one_available() || !slot->open()))
     return nullptr;
-  return at.get();
+  return slot.get();
 }
 
 void Front::send_to_worker(Path& path, std::string_view bytes, unsigned char ecn) {
-  Upstream* upstream = upstream_of(path);
-  if (!upstream) return full_.add();
+  Upstream* upstream = get_upstream(path);
+  if (!upstream) return table_full_.add();
   Sender::Entry& entry = upstream->sender->add(bytes, ecn);
-  if (!upstream->only) entry.header_size = write_proxy_header(entry.header, header_towards(path));
-  if (std::exchange(upstream->dirty, true)) return;
-  dirty_.push_back(upstream);
+  if (!upstream->dedicated_path) entry.header_size = write_proxy_header(entry.header, proxy_header_for(path));
+  if (std::exchange(upstream->unflushed, true)) return;
+  unflushed_.push_back(upstream);
 }
 
 // A datagram of a call that its worker may not know yet: at once, and with the ids that a Retry has changed.
-void Front::send_first(Flow& flow, std::string_view bytes) {
-  Upstream* upstream = upstream_of(*flow.path);
-  if (!upstream) return full_.add();
-  bool asked = flow.original && !(*flow.original == flow.first_destination);  // by us; a worker knows its own
+void Front::send_handshake_datagram(Flow& flow, std::string_view bytes) {
+  Upstream* upstream = get_upstream(*flow.path);
+  if (!upstream) return table_full_.add();
+  bool after_retry = flow.original_destination && !(*flow.original_destination ==
+                                                    flow.first_destination);  // by us; a worker knows its own
   std::array<char, kMaxProxyHeaderSize> header;
   std::size_t size = 0;
-  if (!upstream->only) {
-    ProxyHeader fields = header_towards(*flow.path);
-    if (asked) {
-      fields.original_id = *flow.original;
+  if (!upstream->dedicated_path) {
+    ProxyHeader fields = proxy_header_for(*flow.path);
+    if (after_retry) {
+      fields.original_id = *flow.original_destination;
       fields.retry_id = flow.first_destination;
     }
     size = write_proxy_header(header, fields);
-  } else if (asked) {
-    send_control(*flow.path, fmt::format("RETRIED {} {}", hex(flow.first_destination), hex(*flow.original)));
+  } else if (after_retry) {
+    send_control(*flow.path,
+                 fmt::format("RETRIED {} {}", hex(flow.first_destination), hex(*flow.original_destination)));
   }
   send_now(upstream->fd(), std::string_view(header.data(), size), bytes);
 }
 
-void Front::send_control(Path& path, const std::string& words) {
-  Upstream* upstream = upstream_of(path);
+void Front::send_control(Path& path, const std::string& message) {
+  Upstream* upstream = get_upstream(path);
   if (!upstream) return;
   std::array<char, kMaxProxyHeaderSize> header;
-  std::size_t size = upstream->only ? 0 : write_proxy_header(header, header_towards(path));
-  send_now(upstream->fd(), std::string_view(header.data(), size), std::string(kControl) + words);
+  std::size_t size = upstream->dedicated_path ? 0 : write_proxy_header(header, proxy_header_for(path));
+  send_now(upstream->fd(), std::string_view(header.data(), size), std::string(kControlPrefix) + message);
 }
 
 void Front::flush() {
-  std::vector<Upstream*> lost;
-  for (Upstream* upstream : dirty_) {
-    upstream->dirty = false;
+  std::vector<Upstream*> closed;
+  for (Upstream* upstream : unflushed_) {
+    upstream->unflushed = false;
     Sender::FlushResult result = upstream->sender->flush(upstream->fd());
-    if (result.dropped > 0) dropped_.add(static_cast<double>(result.dropped));
-    if (result.port_closed) lost.push_back(upstream);
+    if (result.dropped > 0) send_drops_.add(static_cast<double>(result.dropped));
+    if (result.port_closed) closed.push_back(upstream);
   }
-  dirty_.clear();
+  unflushed_.clear();
   if (!to_clients_.empty()) {
     Sender::FlushResult result = to_clients_.flush(fd_.get());
-    out_.add(static_cast<double>(result.datagrams));
-    if (result.dropped > 0) dropped_.add(static_cast<double>(result.dropped));
+    sent_.add(static_cast<double>(result.datagrams));
+    if (result.dropped > 0) send_drops_.add(static_cast<double>(result.dropped));
   }
-  for (Upstream* upstream : lost) worker_lost(*upstream);
+  for (Upstream* upstream : closed) handle_closed_port(*upstream);
 }
 
 // ---- Datagrams from workers ------------------------------------------------------------------------
 
-void Front::from_upstream(Upstream& upstream) {
+void Front::receive_from_worker(Upstream& upstream) {
   now_ = loop_.now();
-  for (int i = 0; i < kBatches && upstream.is_open(); ++i) {
-    auto status = receiver_.receive(upstream.fd(), true,
-                                    [this, &upstream](const Datagram& d) { from_worker(upstream, d); });
+  for (int i = 0; i < kMaxBatches && upstream.is_open(); ++i) {
+    auto status = receiver_.receive(
+        upstream.fd(), true, [this, &upstream](const Datagram& d) { handle_worker_datagram(upstream, d); });
     flush();
-    if (status == Receiver::Status::port_closed) worker_lost(upstream);
+    if (status == Receiver::Status::port_closed) handle_closed_port(upstream);
     if (status != Receiver::Status::more) break;
   }
   now_ = 0;
 }
 
-void Front::from_worker(Upstream& upstream, const Datagram& datagram) {
+void Front::handle_worker_datagram(Upstream& upstream, const Datagram& datagram) {
   if (!upstream.is_open()) return;  // given up by what came before in this batch
   std::string_view bytes = datagram.bytes;
   Endpoint client;
-  if (upstream.only) {
-    client = upstream.only->client;
+  if (upstream.dedicated_path) {
+    client = upstream.dedicated_path->client;
   } else {
     auto header = consume_proxy_header(bytes);
     if (!header || header->local || header->destination.family() != listen_.family()) return malformed_.add();
@@ -149,38 +154,40 @@
   }
   workers_.mark_port_open(upstream.worker);
   if (bytes.empty()) return malformed_.add();
-  if (bytes.starts_with(kControl)) return control(upstream, client, bytes.substr(kControl.size()));
-  if (bytes[0] & 0x80) return long_reply(upstream, bytes, client, datagram.ecn);
-  Path* path = upstream.only ? upstream.only : known_path(client, upstream.worker);
-  if (!path || (path->flow && !path->flow->standing)) {
+  if (bytes.starts_with(kControlPrefix))
+    return handle_control(upstream, client, bytes.substr(kControlPrefix.size()));
+  if (bytes[0] & 0x80) return handle_long_header_reply(upstream, bytes, client, datagram.ecn);
+  Path* path = upstream.dedicated_path ? upstream.dedicated_path : find_path(client, upstream.worker);
+  if (!path || (path->flow && !path->flow->is_established)) {
     // Only a client without a worker's id has no handshake here, so that a short packet is its first reply.
-    for (Flow* flow : trying_at(upstream, client))
-      if (flow->by_tuple) return establish(*flow, bytes);
+    for (Flow* flow : pending_attempts(upstream, client))
+      if (flow->routed_by_address) return establish(*flow, bytes);
     // With one socket for all, what a connection of another router's or start's is sent needs no path.
-    if (upstream.only || path) return late_replies_.add();
+    if (upstream.dedicated_path || path) return late_replies_.add();
   }
-  pass_to_client(client, path, bytes, datagram.ecn);
+  forward_to_client(client, path, bytes, datagram.ecn);
 }
 
-void Front::pass_to_client(const Endpoint& client, Path* path, std::string_view bytes, unsigned char ecn) {
+void Front::forward_to_client(const Endpoint& client, Path* path, std::string_view bytes, unsigned char ecn) {
   if (path) {
-    if (path->from_worker < 255) path->from_worker += 1;
+    if (path->worker_datagrams < 255) path->worker_datagrams += 1;
     touch(*path);
     if (Flow* flow = path->flow) {
-      flow->used = now_;
-      if (!flow->may_answer(bytes.size())) return over_budget_.add();
+      flow->last_used = now_;
+      if (!flow->allow_reply(bytes.size())) return amplification_stops_.add();
     }
   }
   to_clients_.add(bytes, ecn, client);
 }
 
-std::vector<Flow*> Front::trying_at(Upstream& upstream, const Endpoint& client) {
+std::vector<Flow*> Front::pending_attempts(Upstream& upstream, const Endpoint& client) {
   std::vector<Flow*> found;
-  if (upstream.only) {
-    if (upstream.only->flow && upstream.only->flow->trying) found.push_back(upstream.only->flow);
+  if (upstream.dedicated_path) {
+    if (upstream.dedicated_path->flow && upstream.dedicated_path->flow->attempt_pending)
+      found.push_back(upstream.dedicated_path->flow);
     return found;
   }
-  auto [at, end] = trying_.equal_range(path_key(client, upstream.worker).view());
+  auto [at, end] = pending_attempts_.equal_range(path_key(client, upstream.worker).view());
   for (; at != end; ++at) found.push_back(at->second);
   return found;
 }
@@ -188,67 +195,69 @@
 // Several calls of one client may be out at one worker, with the same client id or with none: which of them
 // an Initial or a Retry answers is shown by its protection, whose keys come from the call's first id. That
 // also tells a reply to a call that has been given up, which no one may be shown any more.
-Front::Reply Front::answered_by(Upstream& upstream, const Header& header, std::string_view bytes,
+Front::Reply Front::match_reply(Upstream& upstream, const Header& header, std::string_view bytes,
                                 const Endpoint& client) {
-  Flow* alike = nullptr;
+  Flow* candidate = nullptr;
   std::size_t count = 0;
-  for (Flow* flow : trying_at(upstream, client)) {
-    if (flow->by_tuple || !(flow->client_source == header.destination)) continue;
+  for (Flow* flow : pending_attempts(upstream, client)) {
+    if (flow->routed_by_address || !(flow->client_source == header.destination)) continue;
     if (header.type == PacketType::initial) {
-      auto frames = open_initial(initial_keys(flow->beginning->keys_from, true, header.version), bytes);
+      auto frames =
+          open_initial(initial_keys(flow->handshake_state->initial_keys_id, true, header.version), bytes);
       if (frames) return {flow, std::move(*frames)};
     } else if (header.type == PacketType::retry) {
-      if (retry_is_authentic(bytes, flow->beginning->keys_from)) return {flow, ""};
+      if (retry_is_authentic(bytes, flow->handshake_state->initial_keys_id)) return {flow, ""};
     } else {
-      alike = flow;
+      candidate = flow;
       count += 1;
     }
   }
-  return {count == 1 ? alike : nullptr, ""};
+  return {count == 1 ? candidate : nullptr, ""};
 }
 
-void Front::long_reply(Upstream& upstream, std::string_view bytes, const Endpoint& client,
-                       unsigned char ecn) {
+void Front::handle_long_header_reply(Upstream& upstream, std::string_view bytes, const Endpoint& client,
+                                     unsigned char ecn) {
   auto header = parse(bytes);
   if (!header || header->type == PacketType::version_negotiation ||
       header->type == PacketType::unsupported_version)
     return malformed_.add();  // the router itself has negotiated
   if (header->type != PacketType::retry)
-    if (Flow* flow = linked(header->source); flow && flow->standing && flow->path)
-      return pass_to_client(client, flow->path, bytes, ecn);
-  Reply reply = answered_by(upstream, *header, bytes, client);
+    if (Flow* flow = find_linked(header->source); flow && flow->is_established && flow->path)
+      return forward_to_client(client, flow->path, bytes, ecn);
+  Reply reply = match_reply(upstream, *header, bytes, client);
   if (Flow* flow = reply.flow) {
-    if (header->type == PacketType::initial && refuses(reply.frames) && flow->exchange)
+    if (header->type == PacketType::initial && is_refusal(reply.frames) && flow->exchange)
       return flow->exchange->worker_ended(Outcome::full, CloseKind::orderly);
     if (header->type == PacketType::initial) {
-      if (ids_.codec().decode(header->source, true)) link(*flow, header->source);
+      if (ids_.codec().decode(header->source, true)) link_id(*flow, header->source);
       return establish(*flow, bytes);
     }
     if (header->type == PacketType::retry) {
       // The client begins again with the id that the worker has chosen; the call waits on, bound to it.
-      if (flow->bound || header->source.empty()) return malformed_.add();
-      if (!flow->original) flow->original = std::make_unique<ConnectionId>(flow->first_destination);
-      flow->beginning->keys_from = header->source;
-      flow->bound = true;
-      link(*flow, header->source);
+      if (flow->bound_by_retry || header->source.empty()) return malformed_.add();
+      if (!flow->original_destination)
+        flow->original_destination = std::make_unique<ConnectionId>(flow->first_destination);
+      flow->handshake_state->initial_keys_id = header->source;
+      flow->bound_by_retry = true;
+      link_id(*flow, header->source);
     }
-    if (!flow->may_answer(bytes.size())) return over_budget_.add();
-    return to_client(client, bytes);
+    if (!flow->allow_reply(bytes.size())) return amplification_stops_.add();
+    return send_to_client(client, bytes);
   }
   // An Initial that no call waits for answers one that has been given up. Of a handshake that began before
   // this start or at another router, the client has spoken here first.
-  Path* path = upstream.only ? upstream.only : known_path(client, upstream.worker);
+  Path* path = upstream.dedicated_path ? upstream.dedicated_path : find_path(client, upstream.worker);
   if (header->type == PacketType::initial || header->type == PacketType::retry || !path ||
-      (path->flow && !path->flow->standing))
+      (path->flow && !path->flow->is_established))
     return late_replies_.add();
-  pass_to_client(client, path, bytes, ecn);
+  forward_to_client(client, path, bytes, ecn);
 }
 
 void Front::establish(Flow& flow, std::string_view bytes) {
   if (!flow.exchange) return late_replies_.add();
-  stop_trying(flow);
-  flow.standing = true;
-  list_path(*flow.path);
+  remove_pending_attempt(flow);
+  flow.is_established = true;
+  index_path(*flow.path);
   flow.exchange->worker_established(bytes);
 }
 
@@ -256,49 +265,49 @@
 
 // The connection that a worker means: by the id of the client's first Initial, or by any that it has given
 // out.
-Flow* Front::named(Upstream& upstream, const Endpoint& client, std::string_view id) {
-  Flow* flow = linked(id);
+Flow* Front::find_flow(Upstream& upstream, const Endpoint& client, std::string_view id) {
+  Flow* flow = find_linked(id);
   if (!flow)
-    for (Flow* trying : trying_at(upstream, client))
-      if (trying->began_as(id)) flow = trying;
-  Path* path = upstream.only ? upstream.only : known_path(client, upstream.worker);
-  if (!flow && path && path->flow && path->flow->began_as(id)) flow = path->flow;
+    for (Flow* candidate : pending_attempts(upstream, client))
+      if (candidate->has_initial_destination(id)) flow = candidate;
+  Path* path = upstream.dedicated_path ? upstream.dedicated_path : find_path(client, upstream.worker);
+  if (!flow && path && path->flow && path->flow->has_initial_destination(id)) flow = path->flow;
   return flow && flow->path && &flow->path->worker == &upstream.worker ? flow : nullptr;
 }
 
-void Front::control(Upstream& upstream, const Endpoint& client, std::string_view words) {
-  std::size_t space = words.find(' ');
-  std::string_view verb = words.substr(0, space);
-  std::string_view rest = space == std::string_view::npos ? "" : words.substr(space + 1);
+void Front::handle_control(Upstream& upstream, const Endpoint& client, std::string_view message) {
+  std::size_t space = message.find(' ');
+  std::string_view verb = message.substr(0, space);
+  std::string_view rest = space == std::string_view::npos ? "" : message.substr(space + 1);
   auto id = unhex(rest.substr(0, rest.find(' ')));
-  std::string_view more = rest.find(' ') == std::string_view::npos ? "" : rest.substr(rest.find(' ') + 1);
+  std::string_view argument = rest.find(' ') == std::string_view::npos ? "" : rest.substr(rest.find(' ') + 1);
   Flow* flow =
-      id && !id->empty() && id->size() <= kMaxConnectionIdLength ? named(upstream, client, *id) : nullptr;
+      id && !id->empty() && id->size() <= kMaxConnectionIdLength ? find_flow(upstream, client, *id) : nullptr;
   if (!flow) return malformed_.add();
-  if (verb == "BUSY" && !flow->standing && flow->exchange) {
+  if (verb == "BUSY" && !flow->is_established && flow->exchange) {
     flow->exchange->worker_ended(Outcome::full, CloseKind::orderly);
-  } else if (verb == "LINK" && flow->standing) {
-    auto other = unhex(more);
+  } else if (verb == "LINK" && flow->is_established) {
+    auto other = unhex(argument);
     if (!other || other->size() > kMaxConnectionIdLength || !ids_.codec().decode(*other, true))
       return malformed_.add();
     // Where it had been taken for a connection of its own, it is one no longer.
-    if (Flow* twin = linked(*other); twin && twin != flow) {
-      if (core::Exchange* exchange = std::exchange(twin->exchange, nullptr))
+    if (Flow* duplicate = find_linked(*other); duplicate && duplicate != flow) {
+      if (core::Exchange* exchange = std::exchange(duplicate->exchange, nullptr))
         exchange->client_left(CloseKind::orderly);
-      twin->done = true;
-      std::erase(twin->links, ConnectionId(*other));
-      links_.erase(ConnectionId(*other));
+      duplicate->finished = true;
+      std::erase(duplicate->linked_ids, ConnectionId(*other));
+      flows_by_id_.erase(ConnectionId(*other));
     }
-    link(*flow, *other);
-  } else if (verb == "END" && flow->standing) {
-    flow->moves_left = 0;
+    link_id(*flow, *other);
+  } else if (verb == "END" && flow->is_established) {
+    flow->move_requests_left = 0;
     if (flow->exchange) flow->exchange->worker_ended(Outcome::served, CloseKind::orderly);
-    flow->done = true;
-  } else if (verb == "LEFT" && flow->standing) {
+    flow->finished = true;
+  } else if (verb == "LEFT" && flow->is_established) {
     left_.add();
     if (core::Exchange* exchange = std::exchange(flow->exchange, nullptr))
       exchange->client_left(CloseKind::orderly);
-    flow->done = true;
+    flow->finished = true;
   } else {
     malformed_.add();
   }
@@ -306,27 +315,27 @@
 
 // ---- A worker's port is closed ---------------------------------------------------------------------
 
-void Front::lose(Flow& flow, Outcome outcome) {
+void Front::fail_call(Flow& flow, Outcome outcome) {
   if (flow.exchange) flow.exchange->worker_ended(outcome, CloseKind::aborted);
 }
 
-void Front::worker_lost(Upstream& upstream) {
-  lost_.add();
+void Front::handle_closed_port(Upstream& upstream) {
+  workers_lost_.add();
   WorkerTable::Worker& worker = upstream.worker;
   if (!worker.port_closed) log::info("quic: the port of {} is closed", worker.name);
   workers_.mark_port_closed(worker, loop_.now());
-  if (upstream.only) {
-    Flow* flow = upstream.only->flow;
-    if (flow && flow->path == upstream.only)
-      return lose(*flow, flow->standing ? Outcome::reset : Outcome::connect_failed);
+  if (upstream.dedicated_path) {
+    Flow* flow = upstream.dedicated_path->flow;
+    if (flow && flow->path == upstream.dedicated_path)
+      return fail_call(*flow, flow->is_established ? Outcome::reset : Outcome::connect_failed);
     return;
   }
-  std::vector<std::shared_ptr<Flow>> there;
+  std::vector<std::shared_ptr<Flow>> affected;
   for (auto& [key, flow] : flows_)
-    if (flow->path && &flow->path->worker == &worker) there.push_back(flow);
+    if (flow->path && &flow->path->worker == &worker) affected.push_back(flow);
   // Refused before any reply: the worker has not seen it. After that it took the connection along.
-  for (auto& flow : there)
-    if (flow->path) lose(*flow, flow->standing ? Outcome::reset : Outcome::connect_failed);
+  for (auto& flow : affected)
+    if (flow->path) fail_call(*flow, flow->is_established ? Outcome::reset : Outcome::connect_failed);
 }
 
 }  // namespace marblehub::quic
