--- a/conformance/testbed.cpp
+++ b/conformance/testbed.cpp
@@ -21,35 +21,34 @@
 
 }  // namespace
 
-RegistryStandIn::RegistryStandIn()
-    : fd_(test::bound(SOCK_STREAM | SOCK_NONBLOCK)), port_(test::port_of(fd_)) {
+StubRegistry::StubRegistry() : fd_(test::bound(SOCK_STREAM | SOCK_NONBLOCK)), port_(test::port_of(fd_)) {
   ::listen(fd_, 16);
 }
 
-RegistryStandIn::~RegistryStandIn() {
+StubRegistry::~StubRegistry() {
   for (Conn& conn : conns_) ::close(conn.fd);
   ::close(fd_);
 }
 
-void RegistryStandIn::set(const std::string& name, const std::string& address, const std::string& status,
-                          std::int64_t since_ms) {
+void StubRegistry::set(const std::string& name, const std::string& address, const std::string& status,
+                       std::int64_t since_ms) {
   entries_[name] = {{"name", name}, {"address", address}, {"zone", "a"},   {"type", "m"},
                     {"group", 0},   {"status", status},   {"weight", 1.0}, {"since_ms", since_ms}};
   changed_[name] = ++index_;
 }
 
-bool RegistryStandIn::watched() const {
+bool StubRegistry::watched() const {
   return std::any_of(conns_.begin(), conns_.end(), [](const Conn& conn) { return conn.held_since > 0; });
 }
 
-json RegistryStandIn::list() const {
+json StubRegistry::list() const {
   json all = json::array();
   for (auto& [name, entry] : entries_)
     if (entry["status"] != "gone") all.push_back(entry);
   return all;
 }
 
-void RegistryStandIn::answer(Conn& conn, bool whole) {
+void StubRegistry::answer(Conn& conn, bool whole) {
   json entries = whole ? list() : json::array();
   if (!whole)
     for (auto& [name, entry] : entries_)
@@ -60,7 +59,7 @@
   conn.held_since = 0;
 }
 
-void RegistryStandIn::step() {
+void StubRegistry::step() {
   for (int fd; (fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
     conns_.push_back({fd, "", 0, -1});
   for (Conn& conn : conns_) {
--- a/conformance/testbed.h
+++ b/conformance/testbed.h
@@ -15,10 +15,10 @@
 using nlohmann::json;
 
 // Answers the whole list at once and a watch when there is something newer (or after a while).
-class RegistryStandIn {
+class StubRegistry {
  public:
-  RegistryStandIn();
-  ~RegistryStandIn();
+  StubRegistry();
+  ~StubRegistry();
   int port() const { return port_; }
   // since_ms: the Unix time at which it started; 0: long ago.
   void set(const std::string& name, const std::string& address, const std::string& status,
@@ -77,7 +77,7 @@
   const Endpoint& router() const { return router_; }
 
   TestbedOptions options;
-  RegistryStandIn registry;
+  StubRegistry registry;
   std::vector<std::unique_ptr<Worker>> workers;
   std::vector<std::unique_ptr<Client>> clients;
   std::unique_ptr<test::Program> program, second;
--- a/tests/fleet/processes/stand_ins.cpp
+++ b/tests/fleet/processes/stand_ins.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 struct StandIns::Registry {
-  peers::RegistryStandIn stand_in;
+  peers::StubRegistry stand_in;
 };
 
 struct StandIns::Worker {
--- a/tests/model_sockets_test.cpp
+++ b/tests/model_sockets_test.cpp
@@ -109,7 +109,7 @@
   double share(std::size_t i) const { return static_cast<double>(workers[i]->standing) / kClients; }
 
   const std::string file = "/tmp/marblehub-rebalance-" + std::to_string(getpid()) + ".json";
-  peers::RegistryStandIn registry;
+  peers::StubRegistry registry;
   std::vector<std::unique_ptr<Worker>> workers;
   std::unique_ptr<Program> program;
   std::list<Client> clients;
