--- a/bench/quic_forward.cpp
+++ b/bench/quic_forward.cpp
@@ -33,8 +33,8 @@
 
 // Sends flow after flow in bursts, as fast as it can; a share of the system's buffers is lost, as in a
 // network.
-void source(const std::vector<int>& sockets, const std::vector<std::string>& packets, sockaddr_in to,
-            const std::atomic<bool>& stop) {
+void send_load(const std::vector<int>& sockets, const std::vector<std::string>& packets, sockaddr_in to,
+               const std::atomic<bool>& stop) {
   std::vector<mmsghdr> messages(kBatch);
   std::vector<iovec> parts(kBatch);
   for (std::size_t flow = 0; !stop; flow = (flow + 1) % sockets.size()) {
@@ -71,7 +71,7 @@
   }
 }
 
-void sink(int fd, std::atomic<std::size_t>& count, const std::atomic<bool>& stop) {
+void count_received(int fd, std::atomic<std::size_t>& count, const std::atomic<bool>& stop) {
   receive_all(fd, stop, [&](auto&, auto&, std::size_t n) { count += n; });
 }
 
@@ -82,26 +82,27 @@
   return t.tv_sec * std::int64_t{1000000} + t.tv_nsec / 1000;
 }
 
-void bare(int in, int out, const std::atomic<bool>& stop) {
+void forward_bare(int in, int out, const std::atomic<bool>& stop) {
   receive_all(in, stop, [out](std::vector<mmsghdr>& messages, std::vector<iovec>& parts, std::size_t n) {
     for (std::size_t i = 0; i < n; ++i) parts[i].iov_len = messages[i].msg_len;
     ::sendmmsg(out, messages.data(), static_cast<unsigned>(n), 0);
   });
 }
 
-struct Figure {
+struct Measurement {
   double per_second = 0, cpu_us = 0;
 };
 
-Figure measure(double seconds, std::atomic<std::size_t>& count, const std::function<std::int64_t()>& cpu) {
+Measurement measure(double seconds, std::atomic<std::size_t>& count,
+                    const std::function<std::int64_t()>& cpu) {
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
   std::size_t first = count;
-  std::int64_t cpu_first = cpu(), began = peers::now_us();
+  std::int64_t cpu_first = cpu(), started_at = peers::now_us();
   std::this_thread::sleep_for(std::chrono::microseconds(static_cast<std::int64_t>(seconds * 1e6)));
-  std::size_t done = count - first;
-  double took = static_cast<double>(peers::now_us() - began);
-  return {static_cast<double>(done) / took * 1e6,
-          static_cast<double>(cpu() - cpu_first) / static_cast<double>(std::max<std::size_t>(done, 1))};
+  std::size_t delivered = count - first;
+  double elapsed_us = static_cast<double>(peers::now_us() - started_at);
+  return {static_cast<double>(delivered) / elapsed_us * 1e6,
+          static_cast<double>(cpu() - cpu_first) / static_cast<double>(std::max<std::size_t>(delivered, 1))};
 }
 
 }  // namespace
@@ -126,34 +127,34 @@
     for (std::size_t i = 0; i < flows; ++i)
       packets.push_back("\x40" + codec.encode(2, default_server_id("g-1", 4), fmt::format("{:06}", i)) +
                         std::string(kSize - 12, 'x'));
-    double of_bare = 0;
-    for (std::string way : {"bare", "proxy-v2", "socket"}) {
-      if (way == "socket" && flows > 900) continue;  // one descriptor a flow: its limit is the platform's
+    double bare_rate = 0;
+    for (std::string mode : {"bare", "proxy-v2", "socket"}) {
+      if (mode == "socket" && flows > 900) continue;  // one descriptor a flow: its limit is the platform's
       std::atomic<bool> stop = false;
       std::atomic<std::size_t> count = 0;
       int sink_fd = socket_on_loopback(), bare_in = -1, bare_out = -1;
       bench::Router router;
       std::thread forwarder;
       sockaddr_in to;
-      if (way == "bare") {
+      if (mode == "bare") {
         bare_in = socket_on_loopback();
         bare_out = socket_on_loopback();
         sockaddr_in at = test::loopback(test::port_of(sink_fd));
         ::connect(bare_out, reinterpret_cast<sockaddr*>(&at), sizeof at);
         to = test::loopback(test::port_of(bare_in));
-        forwarder = std::thread([&] { bare(bare_in, bare_out, stop); });
+        forwarder = std::thread([&] { forward_bare(bare_in, bare_out, stop); });
       } else {
-        router = bench::start_router(test::text_of(test::port_of(sink_fd)), way, 1024);
+        router = bench::start_router(test::text_of(test::port_of(sink_fd)), mode, 1024);
         to = test::loopback(router.port);
       }
-      std::thread drain([&] { sink(sink_fd, count, stop); });
-      std::thread load([&] { source(sockets, packets, to, stop); });
-      Figure figure = measure(seconds, count, [&] {
+      std::thread drain([&] { count_received(sink_fd, count, stop); });
+      std::thread load([&] { send_load(sockets, packets, to, stop); });
+      Measurement measurement = measure(seconds, count, [&] {
         return router.program ? router.program->cpu_us() : cpu_of(forwarder.native_handle());
       });
-      if (way == "bare") of_bare = figure.per_second;
-      fmt::print("{:>6} {:<10} {:>12.0f} {:>14.2f} {:>8.2f}{}\n", flows, way, figure.per_second,
-                 figure.cpu_us, figure.per_second / of_bare,
+      if (mode == "bare") bare_rate = measurement.per_second;
+      fmt::print("{:>6} {:<10} {:>12.0f} {:>14.2f} {:>8.2f}{}\n", flows, mode, measurement.per_second,
+                 measurement.cpu_us, measurement.per_second / bare_rate,
                  router.program ? fmt::format("   resident {} kB, {} descriptors",
                                               router.program->resident_kb(), router.program->descriptors())
                                 : "");
--- a/bench/quic_memory.cpp
+++ b/bench/quic_memory.cpp
@@ -14,31 +14,31 @@
 using namespace marblehub::quic;
 
 int main(int argc, char** argv) {
-  std::size_t wanted = argc > 1 ? std::stoul(argv[1]) : 20000;
-  rlimit files{wanted + 1000, wanted + 1000};
+  std::size_t target = argc > 1 ? std::stoul(argv[1]) : 20000;
+  rlimit files{target + 1000, target + 1000};
   if (setrlimit(RLIMIT_NOFILE, &files) != 0) {
     getrlimit(RLIMIT_NOFILE, &files);
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
-    wanted = std::min<std::size_t>(wanted, files.rlim_max - 200);
+    target = std::min<std::size_t>(target, files.rlim_max - 200);
   }
   peers::Udp worker;
-  bench::Router started = bench::start_router(worker.local().text(), "proxy-v2", 256);
-  test::Program& router = *started.program;
+  bench::Router router_process = bench::start_router(worker.local().text(), "proxy-v2", 256);
+  test::Program& router = *router_process.program;
   IdCodec codec({bench::ids()});
-  Endpoint to = *Endpoint::parse(test::text_of(started.port));
-  long empty = router.resident_kb();
+  Endpoint to = *Endpoint::parse(test::text_of(router_process.port));
+  long empty_kb = router.resident_kb();
 
   std::vector<std::unique_ptr<peers::Udp>> clients;
-  std::size_t up = 0;
-  for (std::size_t i = 0; i < wanted; ++i) {
+  std::size_t established = 0;
+  for (std::size_t i = 0; i < target; ++i) {
     clients.push_back(std::make_unique<peers::Udp>());
     std::string first = "\xe0" + fmt::format("{:09}", i), source = fmt::format("{:08}", i);
     clients.back()->send(seal_initial(initial_keys(first, false), first, source, 0, std::string(1160, '\0')),
                          to);
     for (int wait = 0; wait < 2000; ++wait) {
-      if (auto came = worker.receive()) {
-        std::string_view bytes = came->bytes;
+      if (auto received = worker.receive()) {
+        std::string_view bytes = received->bytes;
         auto header = consume_proxy_header(bytes);
         auto initial = parse(bytes);
         if (!header || !initial) continue;
@@ -48,19 +48,19 @@
         std::string dst(initial->destination);
         worker.send(std::string(out.data(), size) +
                         seal_initial(initial_keys(dst, true), initial->source, id, 0, std::string(40, '\1')),
-                    came->from);
+                    received->from);
       }
       if (clients.back()->receive()) {
-        up += 1;
+        established += 1;
         break;
       }
       ::usleep(50);
     }
   }
-  long full = router.resident_kb();
+  long full_kb = router.resident_kb();
   fmt::print(
       "{} connections up of {} client addresses; {} descriptors; resident {} kB, {} kB before; {} octets a "
       "connection\n",
-      up, wanted, router.descriptors(), full, empty,
-      (full - empty) * 1024 / static_cast<long>(std::max<std::size_t>(up, 1)));
+      established, target, router.descriptors(), full_kb, empty_kb,
+      (full_kb - empty_kb) * 1024 / static_cast<long>(std::max<std::size_t>(established, 1)));
 }
--- a/bench/router.h
+++ b/bench/router.h
@@ -22,14 +22,14 @@
 
 inline Router start_router(const std::string& worker_address, const std::string& forwarding, rlim_t files) {
   using test::json;
-  json known = json::array({{{"name", "g-1"},
-                             {"address", worker_address},
-                             {"zone", "a"},
-                             {"type", "m"},
-                             {"group", 0},
-                             {"status", "ready"},
-                             {"weight", 1.0},
-                             {"since_ms", 0}}});
+  json endpoints = json::array({{{"name", "g-1"},
+                                 {"address", worker_address},
+                                 {"zone", "a"},
+                                 {"type", "m"},
+                                 {"group", 0},
+                                 {"status", "ready"},
+                                 {"weight", 1.0},
+                                 {"since_ms", 0}}});
   int port = test::free_port(SOCK_DGRAM);
   char path[] = "/tmp/marblehub-bench-XXXXXX";
   ::close(mkstemp(path));
@@ -48,7 +48,7 @@
                              .dump();
   json settings = test::settings();
   settings["limits"]["probes"] = false;
-  Router router{std::make_unique<test::Program>(known, settings, test::free_port(SOCK_STREAM), path,
+  Router router{std::make_unique<test::Program>(endpoints, settings, test::free_port(SOCK_STREAM), path,
                                                 "/nonexistent", files),
                 port};
   std::remove(path);
--- a/conformance/peers/client.cpp
+++ b/conformance/peers/client.cpp
@@ -13,15 +13,19 @@
 namespace marblehub::peers {
 
 Client::Client(const Endpoint& router, ClientOptions options)
-    : began(now_us()), hop(options.family, options.faults), router_(router), via_(router), options_(options) {
-  believed_ = hop.address();
+    : started_at(now_us()),
+      hop(options.family, options.faults),
+      router_(router),
+      current_router_(router),
+      options_(options) {
+  local_address_ = hop.address();
   require(gnutls_init(&session_, GNUTLS_CLIENT | GNUTLS_ENABLE_EARLY_DATA | GNUTLS_NO_END_OF_EARLY_DATA) == 0,
           "no TLS session");
   require(gnutls_priority_set_direct(session_, kTlsPriority, nullptr) == 0, "no TLS priorities");
   require(ngtcp2_crypto_gnutls_configure_client_session(session_) == 0, "no QUIC over TLS");
   gnutls_credentials_set(session_, GNUTLS_CRD_CERTIFICATE, tls().client);
   gnutls_handshake_set_hook_function(session_, GNUTLS_HANDSHAKE_NEW_SESSION_TICKET, GNUTLS_HOOK_POST,
-                                     ticket_came);
+                                     on_session_ticket);
   set_alpn(session_, options_.padding);
 
   ngtcp2_settings settings;
@@ -40,7 +44,7 @@
   std::string first = quic::random_bytes(12);
   first[0] = static_cast<char>(first[0] | quic::kUnroutableRotation << 5);
   ngtcp2_cid destination = cid_of(first), source = cid_of(quic::random_bytes(options_.id_length));
-  SocketName here(believed_), there(router_);
+  SocketAddress here(local_address_), there(router_);
   ngtcp2_path path{here, there, nullptr};
   ngtcp2_callbacks all = callbacks(false);
   require(ngtcp2_conn_client_new(&conn_, &destination, &source, &path, options_.version, &all, &settings,
@@ -55,7 +59,7 @@
   }
 }
 
-int Client::ticket_came(gnutls_session_t session, unsigned, unsigned, unsigned, const gnutls_datum_t*) {
+int Client::on_session_ticket(gnutls_session_t session, unsigned, unsigned, unsigned, const gnutls_datum_t*) {
   auto& self = static_cast<Client&>(*static_cast<Connection*>(
       static_cast<ngtcp2_crypto_conn_ref*>(gnutls_session_get_ptr(session))->user_data));
   gnutls_datum_t data;
@@ -68,37 +72,37 @@
   return 0;
 }
 
-void Client::new_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t size) {
+void Client::generate_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t size) {
   id = cid_of(quic::random_bytes(size));
   std::memcpy(token, quic::random_bytes(NGTCP2_STATELESS_RESET_TOKENLEN).data(),
               NGTCP2_STATELESS_RESET_TOKENLEN);
 }
 
-void Client::completed() {
-  up_at = now_us();
-  early_taken_ = options_.resume && !ngtcp2_conn_get_early_data_rejected(conn_);
+void Client::on_handshake_completed() {
+  completed_at = now_us();
+  early_data_accepted_ = options_.resume && !ngtcp2_conn_get_early_data_rejected(conn_);
 }
 
-void Client::transmit(const ngtcp2_path&, std::string_view bytes) { hop.send(bytes, via_); }
+void Client::transmit(const ngtcp2_path&, std::string_view bytes) { hop.send(bytes, current_router_); }
 
-void Client::text_came(std::int64_t, const std::string& text) { answers_[text] += 1; }
+void Client::on_message(std::int64_t, const std::string& text) { answers_[text] += 1; }
 
 void Client::request(std::string text) {
-  asked_ += 1;
-  waiting_.push_back(std::move(text));
+  request_count_ += 1;
+  queued_requests_.push_back(std::move(text));
 }
 
 bool Client::all_answered_once() const {
-  if (answers_.size() != asked_) return false;
+  if (answers_.size() != request_count_) return false;
   return std::all_of(answers_.begin(), answers_.end(), [](const auto& answer) { return answer.second == 1; });
 }
 
 void Client::open_streams() {
-  while (!waiting_.empty() && !over_) {
+  while (!queued_requests_.empty() && !closed_) {
     std::int64_t id;
     if (ngtcp2_conn_open_bidi_stream(conn_, &id, nullptr) != 0) return;
-    send_text(id, std::move(waiting_.front()));
-    waiting_.pop_front();
+    send_text(id, std::move(queued_requests_.front()));
+    queued_requests_.pop_front();
   }
 }
 
@@ -106,18 +110,18 @@
   for (const std::string& bytes : hop.receive()) {
     auto header = quic::parse(bytes);
     if (header && header->type == quic::PacketType::retry) retried_ = true;
-    read(believed_, router_, bytes);
+    read(local_address_, router_, bytes);
   }
   expire();
-  if (!over_) open_streams();
+  if (!closed_) open_streams();
   write();
   hop.step();
 }
 
 bool Client::migrate() {
   hop.rebind();
-  believed_ = hop.address();
-  SocketName here(believed_), there(router_);
+  local_address_ = hop.address();
+  SocketAddress here(local_address_), there(router_);
   ngtcp2_path path{here, there, nullptr};
   return ngtcp2_conn_initiate_immediate_migration(conn_, &path, now_ns()) == 0;
 }
--- a/conformance/peers/connection.cpp
+++ b/conformance/peers/connection.cpp
@@ -40,7 +40,7 @@
   };
   c.get_new_connection_id = [](ngtcp2_conn*, ngtcp2_cid* id, std::uint8_t* token, std::size_t size,
                                void* self) {
-    static_cast<Connection*>(self)->new_id(*id, token, size);
+    static_cast<Connection*>(self)->generate_id(*id, token, size);
     return 0;
   };
   c.recv_stream_data = [](ngtcp2_conn* conn, std::uint32_t flags, std::int64_t id, std::uint64_t,
@@ -50,7 +50,7 @@
     stream.in.append(reinterpret_cast<const char*>(data), size);
     ngtcp2_conn_extend_max_stream_offset(conn, id, size);
     ngtcp2_conn_extend_max_offset(conn, size);
-    if (flags & NGTCP2_STREAM_DATA_FLAG_FIN) self.text_came(id, stream.in);
+    if (flags & NGTCP2_STREAM_DATA_FLAG_FIN) self.on_message(id, stream.in);
     return 0;
   };
   c.stream_close = [](ngtcp2_conn* conn, std::uint32_t, std::int64_t id, std::uint64_t, void* user, void*) {
@@ -59,7 +59,7 @@
     return 0;
   };
   c.handshake_completed = [](ngtcp2_conn*, void* user) {
-    static_cast<Connection*>(user)->completed();
+    static_cast<Connection*>(user)->on_handshake_completed();
     return 0;
   };
   c.recv_stateless_reset = [](ngtcp2_conn*, const ngtcp2_pkt_stateless_reset*, void* user) {
@@ -75,13 +75,13 @@
 }
 
 void Connection::read(const Endpoint& local, const Endpoint& remote, std::string_view bytes) {
-  if (over_) return;
-  SocketName here(local), there(remote);
+  if (closed_) return;
+  SocketAddress here(local), there(remote);
   ngtcp2_path path{here, there, nullptr};
   ngtcp2_pkt_info info{};
   int result = ngtcp2_conn_read_pkt(conn_, &path, &info, peers::raw(bytes), bytes.size(), now_ns());
   if (result == 0) return;
-  over_ = true;
+  closed_ = true;
   if (result == NGTCP2_ERR_DRAINING && !was_reset_) {
     ngtcp2_connection_close_error error;
     ngtcp2_connection_close_error_default(&error);
@@ -91,8 +91,8 @@
 }
 
 void Connection::expire() {
-  if (over_ || ngtcp2_conn_get_expiry(conn_) > now_ns()) return;
-  if (ngtcp2_conn_handle_expiry(conn_, now_ns()) != 0) over_ = true;
+  if (closed_ || ngtcp2_conn_get_expiry(conn_) > now_ns()) return;
+  if (ngtcp2_conn_handle_expiry(conn_, now_ns()) != 0) closed_ = true;
 }
 
 void Connection::send_text(std::int64_t stream, std::string text) {
@@ -121,7 +121,7 @@
       n == NGTCP2_ERR_STREAM_NOT_FOUND)
     return false;
   if (n < 0) {
-    over_ = true;
+    closed_ = true;
     return false;
   }
   if (stream && taken >= 0) {
@@ -134,17 +134,17 @@
 }
 
 void Connection::write() {
-  if (over_) return;
+  if (closed_) return;
   for (auto& [id, stream] : streams_)
-    while (!over_ && stream.has_out && !stream.fin_sent && write_one(id, &stream)) {
+    while (!closed_ && stream.has_out && !stream.fin_sent && write_one(id, &stream)) {
     }
-  while (!over_ && write_one(-1, nullptr)) {
+  while (!closed_ && write_one(-1, nullptr)) {
   }
-  if (!over_) ngtcp2_conn_update_pkt_tx_time(conn_, now_ns());
+  if (!closed_) ngtcp2_conn_update_pkt_tx_time(conn_, now_ns());
 }
 
-void Connection::shut(std::uint64_t code) {
-  if (over_) return;
+void Connection::close_with(std::uint64_t code) {
+  if (closed_) return;
   std::uint8_t buffer[1452];
   ngtcp2_path_storage path;
   ngtcp2_path_storage_zero(&path);
@@ -153,7 +153,7 @@
   ngtcp2_connection_close_error_set_application_error(&error, code, nullptr, 0);
   ngtcp2_ssize n =
       ngtcp2_conn_write_connection_close(conn_, &path.path, &info, buffer, sizeof buffer, &error, now_ns());
-  over_ = true;
+  closed_ = true;
   if (n > 0) transmit(path.path, {reinterpret_cast<char*>(buffer), static_cast<std::size_t>(n)});
 }
 
--- a/conformance/peers/connection.h
+++ b/conformance/peers/connection.h
@@ -23,7 +23,7 @@
   Connection(const Connection&) = delete;
 
   bool handshaken() const { return conn_ && ngtcp2_conn_get_handshake_completed(conn_); }
-  bool over() const { return over_; }
+  bool closed() const { return closed_; }
   bool was_reset() const { return was_reset_; }                            // by a stateless reset
   std::optional<std::uint64_t> close_code() const { return close_code_; }  // of the peer's CONNECTION_CLOSE
   ngtcp2_conn* raw() { return conn_; }
@@ -32,13 +32,13 @@
  protected:
   Connection();
   virtual void transmit(const ngtcp2_path& path, std::string_view bytes) = 0;
-  virtual void text_came(std::int64_t stream, const std::string& text) = 0;
-  virtual void completed() {}
-  virtual void new_id(ngtcp2_cid&, std::uint8_t*, std::size_t) = 0;
+  virtual void on_message(std::int64_t stream, const std::string& text) = 0;
+  virtual void on_handshake_completed() {}
+  virtual void generate_id(ngtcp2_cid&, std::uint8_t*, std::size_t) = 0;
   void read(const Endpoint& local, const Endpoint& remote, std::string_view bytes);
   void expire();
   void send_text(std::int64_t stream, std::string text);
-  void shut(std::uint64_t application_code);  // closes at once
+  void close_with(std::uint64_t application_code);  // closes at once
   ngtcp2_callbacks callbacks(bool server);
   void finish_setup();
 
@@ -51,7 +51,7 @@
   gnutls_session_t session_ = nullptr;
   ngtcp2_crypto_conn_ref ref_;
   std::map<std::int64_t, Stream> streams_;
-  bool over_ = false, was_reset_ = false;
+  bool closed_ = false, was_reset_ = false;
   std::optional<std::uint64_t> close_code_;
 
  private:
--- a/conformance/peers/hop.cpp
+++ b/conformance/peers/hop.cpp
@@ -11,15 +11,15 @@
 void Hop::send(std::string_view bytes, const Endpoint& to) {
   std::vector<std::string> all{std::string(bytes)};
   if (tamper) all = tamper(std::string(bytes));
-  for (const std::string& one : all) {
-    if (chance(faults_.lose)) continue;
-    int times = chance(faults_.repeat) ? 2 : 1;
+  for (const std::string& datagram : all) {
+    if (happens(faults_.loss)) continue;
+    int times = happens(faults_.duplication) ? 2 : 1;
     for (int i = 0; i < times; ++i) {
-      octets_out += one.size();
-      if (chance(faults_.delay)) {
-        held_out_.push_back({now_us() + faults_.delay_us, one, to});
+      bytes_out += datagram.size();
+      if (happens(faults_.delay)) {
+        delayed_out_.push_back({now_us() + faults_.delay_us, datagram, to});
       } else {
-        socket().send(one, to);
+        socket().send(datagram, to);
       }
     }
   }
@@ -27,19 +27,19 @@
 
 std::vector<std::string> Hop::receive() {
   std::vector<std::string> out;
-  for (auto& one : sockets_)
-    while (auto came = one->receive()) {
-      octets_in += came->bytes.size();
-      if (chance(faults_.lose)) continue;
-      if (chance(faults_.repeat)) out.push_back(came->bytes);
-      if (chance(faults_.delay)) {
-        held_in_.push_back({now_us() + faults_.delay_us, std::move(came->bytes), {}});
+  for (auto& datagram : sockets_)
+    while (auto received = datagram->receive()) {
+      bytes_in += received->bytes.size();
+      if (happens(faults_.loss)) continue;
+      if (happens(faults_.duplication)) out.push_back(received->bytes);
+      if (happens(faults_.delay)) {
+        delayed_in_.push_back({now_us() + faults_.delay_us, std::move(received->bytes), {}});
       } else {
-        out.push_back(std::move(came->bytes));
+        out.push_back(std::move(received->bytes));
       }
     }
-  std::erase_if(held_in_, [&](Held& held) {
-    bool due = held.until <= now_us();
+  std::erase_if(delayed_in_, [&](DelayedDatagram& held) {
+    bool due = held.due_at <= now_us();
     if (due) out.push_back(std::move(held.bytes));
     return due;
   });
@@ -47,8 +47,8 @@
 }
 
 void Hop::step() {
-  std::erase_if(held_out_, [&](const Held& held) {
-    bool due = held.until <= now_us();
+  std::erase_if(delayed_out_, [&](const DelayedDatagram& held) {
+    bool due = held.due_at <= now_us();
     if (due) socket().send(held.bytes, held.to);
     return due;
   });
--- a/conformance/peers/hop.h
+++ b/conformance/peers/hop.h
@@ -15,7 +15,7 @@
 
 // What the network between a client and the router does to datagrams, drawn from a seed. Shares are of 1.
 struct Faults {
-  double lose = 0, repeat = 0, delay = 0;  // a delayed one is overtaken by those behind it
+  double loss = 0, duplication = 0, delay = 0;  // a delayed one is overtaken by those behind it
   std::int64_t delay_us = 20'000;
   std::uint64_t seed = 1;
 };
@@ -31,22 +31,22 @@
   void rebind();
   const Endpoint& address() const { return sockets_.back()->local(); }
   Udp& socket() { return *sockets_.back(); }
-  std::size_t octets_in = 0, octets_out = 0;
+  std::size_t bytes_in = 0, bytes_out = 0;
   std::function<std::vector<std::string>(std::string)> tamper;  // of what is sent: several, other or none
 
  private:
-  struct Held {
-    std::int64_t until;
+  struct DelayedDatagram {
+    std::int64_t due_at;
     std::string bytes;
     Endpoint to;
   };
-  bool chance(double share) { return std::uniform_real_distribution<>(0, 1)(random_) < share; }
+  bool happens(double share) { return std::uniform_real_distribution<>(0, 1)(random_) < share; }
 
   const int family_;
   Faults faults_;
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<Udp>> sockets_;
-  std::vector<Held> held_out_, held_in_;
+  std::vector<DelayedDatagram> delayed_out_, delayed_in_;
 };
 
 }  // namespace marblehub::peers
--- a/conformance/peers/ngtcp2_support.h
+++ b/conformance/peers/ngtcp2_support.h
@@ -13,7 +13,7 @@
 namespace marblehub::peers {
 
 /// The application's close code for "come again".
-inline constexpr std::uint64_t kMoved = 0x4d;
+inline constexpr std::uint64_t kMoveCloseCode = 0x4d;
 
 inline ngtcp2_tstamp now_ns() { return static_cast<ngtcp2_tstamp>(now_us()) * 1000; }
 inline const std::uint8_t* raw(std::string_view s) { return reinterpret_cast<const std::uint8_t*>(s.data()); }
@@ -28,8 +28,8 @@
 }
 
 // An endpoint in the form that the library and the system take; it lives as long as the call it is made for.
-struct SocketName {
-  explicit SocketName(const Endpoint& e) : size(e.write(name)) {}
+struct SocketAddress {
+  explicit SocketAddress(const Endpoint& e) : size(e.write(name)) {}
   operator ngtcp2_addr() { return {raw(), static_cast<ngtcp2_socklen>(size)}; }
   sockaddr* raw() { return reinterpret_cast<sockaddr*>(&name); }
   sockaddr_in6 name;
--- a/conformance/peers/served_connection.cpp
+++ b/conformance/peers/served_connection.cpp
@@ -42,7 +42,7 @@
   ngtcp2_cid source = cid_of(worker_.make_id()), destination = hd.scid;
   ids.push_back(text_of(source));
   ngtcp2_transport_params params = transport_params(retry);
-  SocketName here(worker_.address()), there(client);
+  SocketAddress here(worker_.address()), there(client);
   ngtcp2_path path{here, there, nullptr};
   ngtcp2_callbacks all = callbacks(true);
   require(ngtcp2_conn_server_new(&conn_, &destination, &source, &path, hd.version, &all, &settings, &params,
@@ -73,37 +73,37 @@
   return params;
 }
 
-void ServedConnection::take(const Endpoint& client, std::string_view bytes) {
+void ServedConnection::handle_datagram(const Endpoint& client, std::string_view bytes) {
   read(worker_.address(), client, bytes);
-  if (!over_) write();
+  if (!closed_) write();
 }
 
 void ServedConnection::step() {
   std::erase_if(locks_, [this](const Lock& lock) {
     bool due = lock.at <= now_us();
-    if (due && !over_) send_text(lock.stream, "OK " + lock.text);
+    if (due && !closed_) send_text(lock.stream, "OK " + lock.text);
     return due;
   });
   expire();
-  if (!over_) write();
+  if (!closed_) write();
   // Ids are linked once the router knows the connection: after the first flight.
   for (const std::string& id : std::exchange(unlinked_, {}))
-    if (worker_.options.links)
-      worker_.say(fmt::format("LINK {} {}", quic::hex(first_), quic::hex(id)), client_);
+    if (worker_.options.link_ids)
+      worker_.send_control(fmt::format("LINK {} {}", quic::hex(first_), quic::hex(id)), client_);
 }
 
-void ServedConnection::came_through(const Endpoint& router) {
-  if (router_.is_specified() && !(router_ == router)) worker_.leave(router_, client_, ids[0]);
+void ServedConnection::update_router(const Endpoint& router) {
+  if (router_.is_specified() && !(router_ == router)) worker_.send_left(router_, client_, ids[0]);
   router_ = router;
 }
 
 void ServedConnection::move() {
-  if (over_) return;
-  shut(kMoved);
-  worker_.say("END " + quic::hex(first_), client_);
+  if (closed_) return;
+  close_with(kMoveCloseCode);
+  worker_.send_control("END " + quic::hex(first_), client_);
 }
 
-bool ServedConnection::known_as(std::string_view id) const {
+bool ServedConnection::has_id(std::string_view id) const {
   return first_ == id || std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
@@ -112,22 +112,22 @@
   worker_.send(bytes, client_);
 }
 
-void ServedConnection::new_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t) {
-  std::string made = worker_.make_id();
-  id = cid_of(made);
+void ServedConnection::generate_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t) {
+  std::string id_bytes = worker_.make_id();
+  id = cid_of(id_bytes);
   std::string key = worker_.options.reset_key.empty() ? "none" : worker_.options.reset_key;
-  std::memcpy(token, quic::stateless_reset_token(key, made).data(), NGTCP2_STATELESS_RESET_TOKENLEN);
-  ids.push_back(made);
-  unlinked_.push_back(made);
-  worker_.by_id_[made] = worker_.by_id_.at(ids[0]);
+  std::memcpy(token, quic::stateless_reset_token(key, id_bytes).data(), NGTCP2_STATELESS_RESET_TOKENLEN);
+  ids.push_back(id_bytes);
+  unlinked_.push_back(id_bytes);
+  worker_.by_id_[id_bytes] = worker_.by_id_.at(ids[0]);
 }
 
-void ServedConnection::completed() { gnutls_session_ticket_send(session_, 1, 0); }
+void ServedConnection::on_handshake_completed() { gnutls_session_ticket_send(session_, 1, 0); }
 
-void ServedConnection::text_came(std::int64_t stream, const std::string& text) {
+void ServedConnection::on_message(std::int64_t stream, const std::string& text) {
   worker_.executed[text] += 1;
   if (text.starts_with("LOCK")) {
-    locks_.push_back({now_us() + worker_.options.lock_us, stream, text});
+    locks_.push_back({now_us() + worker_.options.lock_delay_us, stream, text});
   } else {
     send_text(stream, "OK " + text);
   }
--- a/conformance/peers/served_connection.h
+++ b/conformance/peers/served_connection.h
@@ -18,13 +18,13 @@
   ServedConnection(Worker& worker, const ngtcp2_pkt_hd& hd, const Endpoint& client,
                    const std::string& original, const std::optional<std::string>& retry);
 
-  void take(const Endpoint& client, std::string_view bytes);
+  void handle_datagram(const Endpoint& client, std::string_view bytes);
   void step();
   /// Through another router than before: the one before is told that the connection has left it.
-  void came_through(const Endpoint& router);
+  void update_router(const Endpoint& router);
   /// Closes it with the code for "come again".
   void move();
-  bool known_as(std::string_view id) const;
+  bool has_id(std::string_view id) const;
   const Endpoint& client() const { return client_; }
 
   std::vector<std::string> ids;
@@ -37,9 +37,9 @@
   };
 
   void transmit(const ngtcp2_path& path, std::string_view bytes) override;
-  void new_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t size) override;
-  void completed() override;
-  void text_came(std::int64_t stream, const std::string& text) override;
+  void generate_id(ngtcp2_cid& id, std::uint8_t* token, std::size_t size) override;
+  void on_handshake_completed() override;
+  void on_message(std::int64_t stream, const std::string& text) override;
   ngtcp2_transport_params transport_params(const std::optional<std::string>& retry) const;
 
   Worker& worker_;
--- a/conformance/peers/udp.cpp
+++ b/conformance/peers/udp.cpp
@@ -17,7 +17,7 @@
 Udp::Udp(int family, int port) : fd_(::socket(family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
   std::string any = family == AF_INET6 ? std::string(15, '\0') + '\1' : std::string("\x7f\0\0\1", 4);
   Endpoint at = *Endpoint::from(any, static_cast<std::uint16_t>(port));
-  SocketName bound(at);
+  SocketAddress bound(at);
   require(fd_ >= 0 && ::bind(fd_, bound.raw(), bound.size) == 0, "no free port");
   sockaddr_in6 name{};
   socklen_t size = sizeof name;
@@ -31,20 +31,20 @@
 
 Udp::~Udp() { ::close(fd_); }
 
-void Udp::mark(unsigned char ecn) const {
+void Udp::set_ecn(unsigned char ecn) const {
   int value = ecn;
   ::setsockopt(fd_, IPPROTO_IP, IP_TOS, &value, sizeof value);
   ::setsockopt(fd_, IPPROTO_IPV6, IPV6_TCLASS, &value, sizeof value);
 }
 
 void Udp::send(std::string_view bytes, const Endpoint& to) const {
-  SocketName name(to);
+  SocketAddress name(to);
   ::sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, name.raw(), name.size);
 }
 
-std::optional<Udp::Came> Udp::receive() const {
+std::optional<Udp::ReceivedDatagram> Udp::receive() const {
   char buffer[65536];
-  alignas(cmsghdr) char control[128];
+  alignas(cmsghdr) char handle_control[128];
   sockaddr_in6 name{};
   iovec part{buffer, sizeof buffer};
   msghdr message{};
@@ -52,17 +52,17 @@
   message.msg_namelen = sizeof name;
   message.msg_iov = &part;
   message.msg_iovlen = 1;
-  message.msg_control = control;
-  message.msg_controllen = sizeof control;
+  message.msg_control = handle_control;
+  message.msg_controllen = sizeof handle_control;
   ssize_t n = ::recvmsg(fd_, &message, 0);
   if (n < 0) return std::nullopt;
-  Came came{std::string(buffer, static_cast<std::size_t>(n)),
-            Endpoint::from(reinterpret_cast<sockaddr*>(&name)), 0};
+  ReceivedDatagram received{std::string(buffer, static_cast<std::size_t>(n)),
+                            Endpoint::from(reinterpret_cast<sockaddr*>(&name)), 0};
   for (cmsghdr* c = CMSG_FIRSTHDR(&message); c; c = CMSG_NXTHDR(&message, c))
     if ((c->cmsg_level == IPPROTO_IP && c->cmsg_type == IP_TOS) ||
         (c->cmsg_level == IPPROTO_IPV6 && c->cmsg_type == IPV6_TCLASS))
-      came.ecn = *CMSG_DATA(c) & 3;
-  return came;
+      received.ecn = *CMSG_DATA(c) & 3;
+  return received;
 }
 
 }  // namespace marblehub::peers
--- a/conformance/peers/udp.h
+++ b/conformance/peers/udp.h
@@ -23,13 +23,13 @@
   ~Udp();
   Udp(const Udp&) = delete;
   void send(std::string_view bytes, const Endpoint& to) const;
-  struct Came {
+  struct ReceivedDatagram {
     std::string bytes;
     Endpoint from;
     unsigned char ecn = 0;
   };
-  std::optional<Came> receive() const;
-  void mark(unsigned char ecn) const;  // of what is sent from now on
+  std::optional<ReceivedDatagram> receive() const;
+  void set_ecn(unsigned char ecn) const;  // of what is sent from now on
   const Endpoint& local() const { return local_; }
 
  private:
--- a/conformance/peers/worker.cpp
+++ b/conformance/peers/worker.cpp
@@ -35,17 +35,17 @@
 
 std::size_t Worker::connections() const {
   return static_cast<std::size_t>(
-      std::count_if(all_.begin(), all_.end(), [](const auto& c) { return !c->over(); }));
+      std::count_if(all_.begin(), all_.end(), [](const auto& c) { return !c->closed(); }));
 }
 
-void Worker::die() {
+void Worker::kill() {
   udp_.reset();
   by_id_.clear();
   all_.clear();
 }
 
 void Worker::restart() {
-  die();
+  kill();
   udp_ = std::make_unique<Udp>(options.family);
 }
 
@@ -59,28 +59,28 @@
   udp_->send(std::string(header.data(), size) + std::string(bytes), router->second);
 }
 
-void Worker::say(const std::string& words, const Endpoint& client) {
-  send(std::string(kControl) + words, client);
+void Worker::send_control(const std::string& message, const Endpoint& client) {
+  send(std::string(kControl) + message, client);
 }
 
-void Worker::leave(const Endpoint& router, const Endpoint& client, const std::string& id) {
+void Worker::send_left(const Endpoint& router, const Endpoint& client, const std::string& id) {
   std::array<char, quic::kMaxProxyHeaderSize> header;
   std::size_t size = quic::write_proxy_header(header, {false, listen_, client, {}, {}});
   udp_->send(std::string(header.data(), size) + std::string(kControl) + "LEFT " + quic::hex(id), router);
 }
 
-void Worker::control(std::string_view words, const Endpoint&, const Endpoint&) {
-  if (words.starts_with("MOVE ")) {
-    auto id = quic::unhex(words.substr(5));
+void Worker::handle_control(std::string_view message, const Endpoint&, const Endpoint&) {
+  if (message.starts_with("MOVE ")) {
+    auto id = quic::unhex(message.substr(5));
     if (!id) return;
     moves.insert(*id);
     for (auto& served : all_)
-      if (served->known_as(*id)) served->move();
-  } else if (words.starts_with("RETRIED ")) {
-    std::string_view rest = words.substr(8);
+      if (served->has_id(*id)) served->move();
+  } else if (message.starts_with("RETRIED ")) {
+    std::string_view rest = message.substr(8);
     auto retry = quic::unhex(rest.substr(0, rest.find(' '))),
          original = quic::unhex(rest.substr(rest.find(' ') + 1));
-    if (retry && original) told_[*retry] = *original;
+    if (retry && original) original_ids_[*retry] = *original;
   }
 }
 
@@ -89,9 +89,9 @@
   if (ngtcp2_accept(&hd, raw(bytes), bytes.size()) != 0) return nullptr;
   initials += 1;
   std::string first = text_of(hd.dcid);
-  if (options.mute) return nullptr;
+  if (options.unresponsive) return nullptr;
   if (options.busy) {
-    say("BUSY " + quic::hex(first), client);
+    send_control("BUSY " + quic::hex(first), client);
     return nullptr;
   }
   if (options.refuse) {
@@ -104,7 +104,8 @@
   std::string original = first;
   std::optional<std::string> retry;
   static const std::string secret = "worker's own token key";
-  if (auto told = told_.find(first); told != told_.end()) {  // the router has asked for a Retry
+  if (auto told = original_ids_.find(first);
+      told != original_ids_.end()) {  // the router has asked for a Retry
     original = told->second;
     retry = first;
     last_retry = {original, first};
@@ -114,16 +115,16 @@
       ngtcp2_cid source = cid_of(make_id());
       std::uint8_t token[NGTCP2_CRYPTO_MAX_RETRY_TOKENLEN], packet[512];
       ngtcp2_ssize size = ngtcp2_crypto_generate_retry_token(
-          token, raw(secret), secret.size(), hd.version, SocketName(client).raw(),
-          static_cast<ngtcp2_socklen>(SocketName(client).size), &source, &hd.dcid, now_ns());
+          token, raw(secret), secret.size(), hd.version, SocketAddress(client).raw(),
+          static_cast<ngtcp2_socklen>(SocketAddress(client).size), &source, &hd.dcid, now_ns());
       ngtcp2_ssize n = ngtcp2_crypto_write_retry(packet, sizeof packet, hd.version, &hd.scid, &source,
                                                  &hd.dcid, token, static_cast<std::size_t>(size));
       if (n > 0) send({reinterpret_cast<char*>(packet), static_cast<std::size_t>(n)}, client);
       return nullptr;
     }
     if (ngtcp2_crypto_verify_retry_token(&odcid, hd.token.base, hd.token.len, raw(secret), secret.size(),
-                                         hd.version, SocketName(client).raw(),
-                                         static_cast<ngtcp2_socklen>(SocketName(client).size), &hd.dcid,
+                                         hd.version, SocketAddress(client).raw(),
+                                         static_cast<ngtcp2_socklen>(SocketAddress(client).size), &hd.dcid,
                                          10 * NGTCP2_SECONDS, now_ns()) != 0)
       return nullptr;
     original = text_of(odcid);
@@ -141,37 +142,37 @@
 
 void Worker::step() {
   if (!udp_) return;
-  while (auto came = udp_->receive()) {
-    std::string_view bytes = came->bytes;
-    Endpoint client = came->from;
+  while (auto received = udp_->receive()) {
+    std::string_view bytes = received->bytes;
+    Endpoint client = received->from;
     if (options.proxy) {
       auto header = quic::consume_proxy_header(bytes);
       if (!header || header->local) continue;
       client = header->source;
       listen_ = header->destination;
-      routers_[std::string(client.bytes())] = came->from;
+      routers_[std::string(client.bytes())] = received->from;
       if (!header->original_id.empty())
-        told_[std::string(header->retry_id)] = std::string(header->original_id);
+        original_ids_[std::string(header->retry_id)] = std::string(header->original_id);
     }
-    clients_seen.insert(client.text());
+    client_addresses.insert(client.text());
     if (bytes.starts_with(kControl)) {
-      control(bytes.substr(kControl.size()), client, came->from);
+      handle_control(bytes.substr(kControl.size()), client, received->from);
       continue;
     }
     datagrams += 1;
-    with_ecn += came->ecn != 0;
+    ecn_marked += received->ecn != 0;
     ngtcp2_version_cid ids;
     if (ngtcp2_pkt_decode_version_cid(&ids, raw(bytes), bytes.size(), options.ids.length()) != 0) continue;
     std::string destination(reinterpret_cast<const char*>(ids.dcid), ids.dcidlen);
     auto known = by_id_.find(destination);
     if (known != by_id_.end()) {
       auto served = known->second;
-      if (options.proxy) served->came_through(came->from);
-      served->take(client, bytes);
+      if (options.proxy) served->update_router(received->from);
+      served->handle_datagram(client, bytes);
       continue;
     }
     if (bytes.empty() || !(bytes[0] & 0x80)) continue;
-    if (ServedConnection* served = accept(std::string(bytes), client)) served->take(client, bytes);
+    if (ServedConnection* served = accept(std::string(bytes), client)) served->handle_datagram(client, bytes);
   }
   for (auto& served : all_) served->step();
 }
--- a/conformance/report.h
+++ b/conformance/report.h
@@ -7,35 +7,35 @@
 
 namespace marblehub::conformance {
 
-struct Line {
-  std::string suite, section, words;
+struct Result {
+  std::string suite, section, requirement;
   bool passed;
 };
 
 class Report {
  public:
-  explicit Report(std::function<void(const Line&)> each) : each_(std::move(each)) {}
+  explicit Report(std::function<void(const Result&)> on_result) : on_result_(std::move(on_result)) {}
   void suite(std::string name) { suite_ = std::move(name); }
-  void check(std::string section, std::string words, bool passed) {
-    lines_.push_back({suite_, std::move(section), std::move(words), passed});
-    each_(lines_.back());
+  void check(std::string section, std::string requirement, bool passed) {
+    results_.push_back({suite_, std::move(section), std::move(requirement), passed});
+    on_result_(results_.back());
   }
   std::size_t failed() const {
-    std::size_t n = 0;
-    for (const Line& line : lines_) n += !line.passed;
-    return n;
+    std::size_t count = 0;
+    for (const Result& result : results_) count += !result.passed;
+    return count;
   }
-  const std::vector<Line>& lines() const { return lines_; }
+  const std::vector<Result>& results() const { return results_; }
 
  private:
-  std::function<void(const Line&)> each_;
+  std::function<void(const Result&)> on_result_;
   std::string suite_;
-  std::vector<Line> lines_;
+  std::vector<Result> results_;
 };
 
 struct Suite {
   const char* name;
-  const char* about;
+  const char* description;
   void (*run)(Report&);
 };
 const std::vector<Suite>& suites();
--- a/conformance/suites/amplification.cpp
+++ b/conformance/suites/amplification.cpp
@@ -6,7 +6,7 @@
 
 void amplification(Report& report) {
   report.suite("amplification");
-  TestbedOptions options = usual();
+  TestbedOptions options = default_options();
   Testbed testbed({"g-1"}, options);
   // A client that sends one Initial and falls silent: all that it gets stays within three times that.
   Client& c = testbed.client();
@@ -17,28 +17,29 @@
   };
   testbed.run(2000);
   report.check("RFC 9000, 8.1", "an address that is not validated gets at most three times what it sent",
-               c.hop.octets_in > 0 && c.hop.octets_in <= 3 * 1200);
+               c.hop.bytes_in > 0 && c.hop.bytes_in <= 3 * 1200);
   // A worker that does not keep to it is held to it.
   Udp sink;
-  take_places(testbed, {{"g-1", &sink}});
+  replace_workers(testbed, {{"g-1", &sink}});
   Probe probe(testbed);
-  std::string id = fresh_id();
+  std::string id = unroutable_id();
   probe.send(bare_initial(id, "source"));
-  std::optional<Udp::Came> came;
-  testbed.run(500, [&] { return (came = sink.receive()).has_value(); });
-  std::size_t got = 0;
-  if (came) {
-    std::string_view bytes = came->bytes;
+  std::optional<Udp::ReceivedDatagram> received;
+  testbed.run(500, [&] { return (received = sink.receive()).has_value(); });
+  std::size_t received_bytes = 0;
+  if (received) {
+    std::string_view bytes = received->bytes;
     auto header = consume_proxy_header(bytes);
     std::string worker_id =
         IdCodec({testbed.options.worker.ids}).encode(2, testbed.worker(0).server_id, "nonce!");
     for (std::uint32_t i = 0; i < 20; ++i)
-      sink.send(header_back(*header) +
+      sink.send(reply_header(*header) +
                     seal_initial(initial_keys(id, true), "source", worker_id, i, std::string(1100, '\0')),
-                came->from);
-    for (const std::string& packet : probe.answers(300, 1000)) got += packet.size();
+                received->from);
+    for (const std::string& packet : probe.answers(300, 1000)) received_bytes += packet.size();
   }
-  report.check("RFC 9000, 8.1", "also where its worker sends more", came && got > 0 && got <= 3 * 1200);
+  report.check("RFC 9000, 8.1", "also where its worker sends more",
+               received && received_bytes > 0 && received_bytes <= 3 * 1200);
   report.check("alerts", "what was kept back is counted",
                testbed.counter("marblehub_quic_amplification_stops_total") > 0);
 }
@@ -47,35 +48,36 @@
 void late_replies(Report& report) {
   report.suite("late");
   for (bool proxy : {true, false}) {
-    std::string way = proxy ? " (proxy-v2)" : " (socket)";
-    TestbedOptions options = usual(proxy);
+    std::string suffix = proxy ? " (proxy-v2)" : " (socket)";
+    TestbedOptions options = default_options(proxy);
     options.deadline_ms = 600;
     Testbed testbed({"g-1"}, options);
     Udp sink;
-    take_places(testbed, {{"g-1", &sink}});
+    replace_workers(testbed, {{"g-1", &sink}});
     Probe probe(testbed);
-    std::string id = fresh_id();
+    std::string id = unroutable_id();
     probe.send(bare_initial(id, "source"));
-    std::optional<Udp::Came> came;
+    std::optional<Udp::ReceivedDatagram> received;
     std::vector<std::string> answers;
     testbed.run(900, [&] {
-      if (auto one = sink.receive()) came = one;
-      while (auto back = probe.udp.receive()) answers.push_back(back->bytes);
-      return came && !answers.empty();
+      if (auto one = sink.receive()) received = one;
+      while (auto answer = probe.udp.receive()) answers.push_back(answer->bytes);
+      return received && !answers.empty();
     });
     report.check("PROTOCOL, answers",
-                 "a worker that says nothing leaves a call that is refused in time" + way,
-                 came && answers.size() == 1 && closes_with(answers[0], id, kConnectionRefused));
-    if (!came) continue;
+                 "a worker that says nothing leaves a call that is refused in time" + suffix,
+                 received && answers.size() == 1 && is_close_with(answers[0], id, kConnectionRefused));
+    if (!received) continue;
     std::string reply =
         seal_initial(initial_keys(id, true), "source",
                      IdCodec({options.worker.ids}).encode(2, testbed.worker(0).server_id, "nonce!"), 0,
                      std::string(100, '\0'));
-    std::string_view bytes = came->bytes;
-    std::string head;
-    if (auto header = proxy ? consume_proxy_header(bytes) : std::nullopt) head = header_back(*header);
-    sink.send(head + reply, came->from);
-    report.check("PROTOCOL, answers", "what it says after that reaches nobody" + way, !probe.answer(300));
+    std::string_view bytes = received->bytes;
+    std::string proxy_header;
+    if (auto header = proxy ? consume_proxy_header(bytes) : std::nullopt)
+      proxy_header = reply_header(*header);
+    sink.send(proxy_header + reply, received->from);
+    report.check("PROTOCOL, answers", "what it says after that reaches nobody" + suffix, !probe.answer(300));
   }
 }
 
--- a/conformance/suites/connection_ids.cpp
+++ b/conformance/suites/connection_ids.cpp
@@ -4,23 +4,23 @@
 
 namespace marblehub::conformance {
 
-static void stable_by_address(Report& report) {
+static void address_affinity(Report& report) {
   // Two sockets of ours in the workers' places, which answer whatever they get.
-  Testbed testbed({"g-1", "g-2"}, usual());
+  Testbed testbed({"g-1", "g-2"}, default_options());
   Udp sinks[2];
-  take_places(testbed, {{"g-1", &sinks[0]}, {"g-2", &sinks[1]}});
+  replace_workers(testbed, {{"g-1", &sinks[0]}, {"g-2", &sinks[1]}});
   Probe tuple(testbed);
   std::size_t got[2] = {0, 0};
   for (int i = 0; i < 12; ++i) {
     tuple.send("\x40\xe1" + std::string(60, static_cast<char>('a' + i)));
     testbed.run(30, [&] {
       for (int s : {0, 1})
-        while (auto came = sinks[s].receive()) {
-          std::string_view bytes = came->bytes;
+        while (auto received = sinks[s].receive()) {
+          std::string_view bytes = received->bytes;
           auto header = consume_proxy_header(bytes);
           if (!header) continue;
           got[s] += 1;
-          sinks[s].send(header_back(*header) + "\x40" + std::string(40, 'y'), came->from);
+          sinks[s].send(reply_header(*header) + "\x40" + std::string(40, 'y'), received->from);
         }
       return false;
     });
@@ -36,12 +36,12 @@
   report.suite("ids");
   const char* draft = "quic-load-balancers";
   auto at = [&](const char* section) { return std::string(draft) + ", " + section; };
-  struct Way {
+  struct IdForm {
     IdConfig config;
-    const char *section, *words;
+    const char *section, *requirement;
   };
-  for (const Way& way :
-       {Way{{0, 1, 4, ""}, "5.2", "an id in the clear of the shortest parts is routed"},
+  for (const IdForm& form :
+       {IdForm{{0, 1, 4, ""}, "5.2", "an id in the clear of the shortest parts is routed"},
         {{6, 15, 4, ""}, "5.2", "an id in the clear of the longest server id is routed"},
         {{1, 4, 12, std::string(16, 'a')}, "5.4.1", "an id of one pass (16 octets) is routed"},
         {{2, 3, 4, std::string(16, 'b')}, "5.4.2", "a four-pass id of 7 octets is routed"},
@@ -49,15 +49,15 @@
         {{4, 8, 11, std::string(16, 'd')}, "5.4.2", "a four-pass id of 19 octets is routed"},
         {{5, 1, 4, std::string(16, 'e')}, "5.4.2", "a four-pass id of 5 octets is routed"},
         {{0, 4, 6, "", false}, "3", "an id whose first octet holds no length is routed"}}) {
-    TestbedOptions options = usual();
-    options.worker.ids = way.config;
+    TestbedOptions options = default_options();
+    options.worker.ids = form.config;
     Testbed testbed({"g-1", "g-2"}, options);
     Client& c = testbed.client();
-    bool good = up(testbed, c) && asks(testbed, c, "one");
+    bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
     c.rebind();
-    report.check(at(way.section), way.words, good && asks(testbed, c, "two"));
+    report.check(at(form.section), form.requirement, good && request_succeeds(testbed, c, "two"));
   }
-  Testbed testbed({"g-1", "g-2"}, usual());
+  Testbed testbed({"g-1", "g-2"}, default_options());
   Probe probe(testbed);
   IdCodec codec({testbed.options.worker.ids});
   probe.send("\x40" + codec.encode(2, "none", "nonce!") + std::string(40, 'x'));
@@ -76,7 +76,7 @@
   testbed.run(200);
   report.check(at("3.1"), "an id of the unroutable codepoint goes through the module as a call",
                testbed.counter("marblehub_calls_total") == calls + 1);
-  stable_by_address(report);
+  address_affinity(report);
   // A client that makes up an id of a worker's form has no claim to that worker.
   std::string chosen = codec.encode(2, testbed.worker(0).server_id, "nonce!");
   calls = testbed.counter("marblehub_calls_total");
--- a/conformance/suites/retry.cpp
+++ b/conformance/suites/retry.cpp
@@ -9,20 +9,20 @@
 void retry(Report& report) {
   report.suite("retry");
   for (bool proxy : {true, false}) {
-    TestbedOptions options = usual(proxy);
+    TestbedOptions options = default_options(proxy);
     options.quic = {{"retry", {{"mode", "always"}, {"token_ms", 1000}}}};
     Testbed testbed({"g-1"}, options);
     Client& c = testbed.client();
-    bool good = up(testbed, c) && asks(testbed, c, "one");
-    std::string way = proxy ? " (proxy-v2)" : " (socket)";
-    report.check("RFC 9000, 8.1.2", "a client that is asked for a Retry is served" + way,
+    bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
+    std::string suffix = proxy ? " (proxy-v2)" : " (socket)";
+    report.check("RFC 9000, 8.1.2", "a client that is asked for a Retry is served" + suffix,
                  good && c.retried());
-    report.check("RFC 9000, 7.3", "its worker has learnt the original and the retry id" + way,
+    report.check("RFC 9000, 7.3", "its worker has learnt the original and the retry id" + suffix,
                  testbed.worker(0).last_retry &&
                      testbed.worker(0).last_retry->first != testbed.worker(0).last_retry->second);
     if (!proxy) continue;
     Probe probe(testbed), other(testbed);
-    std::string id = fresh_id(), initial = bare_initial(id, "source");
+    std::string id = unroutable_id(), initial = bare_initial(id, "source");
     double calls = testbed.counter("marblehub_calls_total");
     probe.send(initial);
     auto answer = probe.answer();
@@ -42,56 +42,57 @@
     std::string second = bare_initial(retry_id, "source", kVersion1, token);
     other.send(second);
     report.check("RFC 9000, 8.1.4", "a token shown from another address is refused with INVALID_TOKEN",
-                 closes_with(other.answer(), retry_id, kInvalidToken));
-    probe.send(bare_initial(fresh_id(), "source", kVersion1, token));
+                 is_close_with(other.answer(), retry_id, kInvalidToken));
+    probe.send(bare_initial(unroutable_id(), "source", kVersion1, token));
     auto refused = probe.answers();
     report.check("RFC 9000, 8.1.2", "a token with another id than its Retry's is refused",
                  refused.size() == 1 && parse(refused[0])->type == PacketType::initial);
-    testbed.worker(0).options.mute = true;
+    testbed.worker(0).options.unresponsive = true;
     probe.send(second);
     testbed.run(150);
     report.check("RFC 9000, 8.1.2", "a good token is taken",
                  testbed.counter("marblehub_calls_total") == calls + 1);
     probe.send(bare_initial(retry_id, "elsewh", kVersion1, token));
     report.check("RFC 9000, 8.1.4", "a replayed token is refused",
-                 closes_with(probe.answer(), retry_id, kInvalidToken));
-    std::string late_id = fresh_id();
-    other.send(bare_initial(late_id, "source"));
-    auto late = other.answer();
+                 is_close_with(probe.answer(), retry_id, kInvalidToken));
+    std::string expired_id = unroutable_id();
+    other.send(bare_initial(expired_id, "source"));
+    auto expired = other.answer();
     testbed.run(1200);
-    std::string late_retry(late ? parse(*late)->source : std::string_view("none"));
-    other.send(bare_initial(late_retry, "source", kVersion1, late ? token_of(*late) : ""));
+    std::string expired_retry_id(expired ? parse(*expired)->source : std::string_view("none"));
+    other.send(bare_initial(expired_retry_id, "source", kVersion1, expired ? token_of(*expired) : ""));
     report.check("RFC 9000, 8.1.3", "a late token is refused",
-                 closes_with(other.answer(), late_retry, kInvalidToken));
-    other.send(bare_initial(fresh_id(), "source", kVersion1, "a token that a worker gave out"));
+                 is_close_with(other.answer(), expired_retry_id, kInvalidToken));
+    other.send(bare_initial(unroutable_id(), "source", kVersion1, "a token that a worker gave out"));
     auto foreign = other.answer();
     report.check("RFC 9000, 8.1.3",
                  "a token that is not the router's counts as none: it is asked for a Retry",
                  foreign && parse(*foreign)->type == PacketType::retry);
-    other.send(bare_initial(fresh_id(), "source", kVersion2));
-    auto two = other.answer();
-    report.check("RFC 9369, 3.3.3", "a Retry of version 2 has that version's type and tag",
-                 two && parse(*two)->type == PacketType::retry && parse(*two)->version == kVersion2);
+    other.send(bare_initial(unroutable_id(), "source", kVersion2));
+    auto retry_v2 = other.answer();
+    report.check(
+        "RFC 9369, 3.3.3", "a Retry of version 2 has that version's type and tag",
+        retry_v2 && parse(*retry_v2)->type == PacketType::retry && parse(*retry_v2)->version == kVersion2);
   }
   // A Retry of the worker's own.
-  TestbedOptions options = usual();
+  TestbedOptions options = default_options();
   options.worker.retry = true;
   Testbed testbed({"g-1"}, options);
   Client& c = testbed.client();
-  bool good = up(testbed, c) && asks(testbed, c, "one");
+  bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
   report.check("RFC 9000, 17.2.5", "a worker's own Retry is passed on, and its client is served",
                good && c.retried());
   report.check("PROTOCOL, attempts", "on the same call", testbed.counter("marblehub_calls_total") == 1);
   report.check("PROTOCOL, attempts", "at the worker that asked",
                testbed.counter("marblehub_attempts_total") == 1);
   // From a rate on.
-  options = usual();
+  options = default_options();
   options.quic = {{"retry", {{"mode", "from_rate"}, {"from_rate", 50}}}};
-  options.worker.mute = true;
+  options.worker.unresponsive = true;
   Testbed flooded({"g-1"}, options);
   Probe probe(flooded);
   std::size_t retries = 0;
-  for (int i = 0; i < 200; ++i) probe.send(bare_initial(fresh_id(), "source"));
+  for (int i = 0; i < 200; ++i) probe.send(bare_initial(unroutable_id(), "source"));
   for (const std::string& packet : probe.answers(600, 1000)) {
     auto header = parse(packet);
     retries += header && header->type == PacketType::retry;
--- a/conformance/suites/routers.cpp
+++ b/conformance/suites/routers.cpp
@@ -7,35 +7,35 @@
 void routers(Report& report) {
   report.suite("routers");
   for (bool proxy : {true, false}) {
-    std::string way = proxy ? " (proxy-v2)" : " (socket)";
-    Testbed testbed({"g-1", "g-2"}, usual(proxy));
+    std::string suffix = proxy ? " (proxy-v2)" : " (socket)";
+    Testbed testbed({"g-1", "g-2"}, default_options(proxy));
     for (int i = 0; i < 10; ++i) testbed.client();
-    testbed.run(3000, [&] { return testbed.all_up(); });
+    testbed.run(3000, [&] { return testbed.all_connected(); });
     testbed.run(300);  // no end may change its address before the handshake is confirmed (RFC 9000, 9)
     testbed.restart_router();
-    bool good = testbed.all_up();
+    bool good = testbed.all_connected();
     for (auto& c : testbed.clients) c->request("after");
     testbed.run(3000, [&] { return testbed.all_answered(); });
-    report.check("quic-load-balancers, 4", "a router that starts anew routes every connection" + way,
+    report.check("quic-load-balancers, 4", "a router that starts anew routes every connection" + suffix,
                  good && testbed.all_answered());
     for (int i = 0; i < 3; ++i) {
       for (auto& c : testbed.clients) c->request("more " + std::to_string(i));
       testbed.run(300);
     }
     testbed.run(300);
-    report.check("DESIGN, mapping", "and the module counts them again" + way,
+    report.check("DESIGN, mapping", "and the module counts them again" + suffix,
                  testbed.counter("marblehub_connections") == static_cast<double>(testbed.clients.size()));
   }
   // Two routers with the same files: every client's new address leads to the other one.
-  Testbed testbed({"g-1", "g-2"}, usual());
+  Testbed testbed({"g-1", "g-2"}, default_options());
   for (int i = 0; i < 10; ++i) testbed.client();
-  testbed.run(3000, [&] { return testbed.all_up(); });
+  testbed.run(3000, [&] { return testbed.all_connected(); });
   testbed.run(300);
   Endpoint other = testbed.second_router();
   for (auto& c : testbed.clients) {
     c->request("at the first");
     c->rebind();
-    c->go_through(other);
+    c->use_router(other);
   }
   bool good = testbed.run(3000, [&] { return testbed.all_answered(); });
   report.check("brief", "a client whose new address leads to another router keeps its connection", good);
--- a/conformance/suites/support.h
+++ b/conformance/suites/support.h
@@ -22,7 +22,7 @@
 
 inline const std::string kResetKey(16, 'r');
 
-inline TestbedOptions usual(bool proxy = true) {
+inline TestbedOptions default_options(bool proxy = true) {
   TestbedOptions options;
   options.proxy = proxy;
   options.worker.reset_key = kResetKey;
@@ -37,7 +37,7 @@
   std::vector<std::string> answers(int ms = 250, std::size_t enough = 1) {
     std::vector<std::string> out;
     testbed.run(ms, [&] {
-      while (auto came = udp.receive()) out.push_back(came->bytes);
+      while (auto received = udp.receive()) out.push_back(received->bytes);
       return out.size() >= enough;
     });
     return out;
@@ -62,33 +62,34 @@
                       token);
 }
 
-inline std::string fresh_id(std::size_t size = 10) {
+inline std::string unroutable_id(std::size_t size = 10) {
   std::string id = random_bytes(size);
   id[0] = static_cast<char>(id[0] | kUnroutableRotation << 5);
   return id;
 }
 
 // Sockets of ours in workers' places: the router is told that the workers are there now.
-inline void take_places(Testbed& testbed, std::initializer_list<std::pair<const char*, const Udp*>> places) {
-  testbed.run(4500, [&] { return testbed.registry.watched(); });
+inline void replace_workers(Testbed& testbed,
+                            std::initializer_list<std::pair<const char*, const Udp*>> places) {
+  testbed.run(4500, [&] { return testbed.registry.has_watch(); });
   for (const auto& [worker, sink] : places) testbed.registry.set(worker, sink->local().text(), "ready");
   testbed.run(400);
 }
 
 // What goes before a worker's answer to a datagram that came with this header.
-inline std::string header_back(const ProxyHeader& came) {
+inline std::string reply_header(const ProxyHeader& received) {
   std::array<char, kMaxProxyHeaderSize> out;
-  std::size_t size = write_proxy_header(out, {false, came.destination, came.source, {}, {}});
+  std::size_t size = write_proxy_header(out, {false, received.destination, received.source, {}, {}});
   return std::string(out.data(), size);
 }
 
-inline bool up(Testbed& testbed, Client& client, int ms = 2500) {
-  return testbed.run(ms, [&] { return client.handshaken(); }) && !client.over();
+inline bool connects(Testbed& testbed, Client& client, int ms = 2500) {
+  return testbed.run(ms, [&] { return client.handshaken(); }) && !client.closed();
 }
 
-inline bool asks(Testbed& testbed, Client& client, const std::string& text, int ms = 2500) {
+inline bool request_succeeds(Testbed& testbed, Client& client, const std::string& text, int ms = 2500) {
   client.request(text);
-  return testbed.run(ms, [&] { return client.all_answered_once() || client.over(); }) &&
+  return testbed.run(ms, [&] { return client.all_answered_once() || client.closed(); }) &&
          client.all_answered_once();
 }
 
@@ -103,8 +104,8 @@
   return open_initial(initial_keys(destination, true, version), packet);
 }
 
-inline bool closes_with(const std::optional<std::string>& packet, std::string_view destination,
-                        std::uint64_t code, std::uint32_t version = kVersion1) {
+inline bool is_close_with(const std::optional<std::string>& packet, std::string_view destination,
+                          std::uint64_t code, std::uint32_t version = kVersion1) {
   auto frames = packet ? close_frames(*packet, destination, version) : std::nullopt;
   if (!frames || frames->empty() || (*frames)[0] != 0x1c) return false;
   std::string_view rest = std::string_view(*frames).substr(1);
--- a/conformance/suites/versions.cpp
+++ b/conformance/suites/versions.cpp
@@ -9,9 +9,9 @@
 
 void versions(Report& report) {
   report.suite("versions");
-  Testbed testbed({"g-1"}, usual());
+  Testbed testbed({"g-1"}, default_options());
   Probe probe(testbed);
-  std::string id = fresh_id(), unknown = bare_initial(id, "source");
+  std::string id = unroutable_id(), unknown = bare_initial(id, "source");
   unknown[1] = '\x1a', unknown[2] = '\x2a', unknown[3] = '\x3a', unknown[4] = '\x4a';
   probe.send(unknown);
   auto answer = probe.answer();
@@ -35,9 +35,9 @@
   probe.send(unknown.substr(0, 1199));
   report.check("RFC 9000, 6.1", "a datagram under 1,200 octets of an unknown version is not answered",
                !probe.answer());
-  std::string longest = unknown.substr(0, 5) + '\xff' + std::string(255, 'd') + '\xff' +
-                        std::string(255, 's') + std::string(800, 'x');
-  probe.send(longest);
+  std::string longest_ids = unknown.substr(0, 5) + '\xff' + std::string(255, 'd') + '\xff' +
+                            std::string(255, 's') + std::string(800, 'x');
+  probe.send(longest_ids);
   answer = probe.answer();
   header = answer ? parse(*answer) : std::nullopt;
   report.check(
@@ -45,8 +45,8 @@
       header && header->type == PacketType::version_negotiation && header->source == std::string(255, 'd'));
   probe.send(*answer);
   report.check("RFC 9000, 6.1", "Version Negotiation is never answered", !probe.answer());
-  testbed.worker(0).options.mute = true;
-  std::string second = bare_initial(fresh_id(), "source", kVersion2);
+  testbed.worker(0).options.unresponsive = true;
+  std::string second = bare_initial(unroutable_id(), "source", kVersion2);
   probe.send(second);
   testbed.run(150);
   report.check("RFC 9369, 3.2", "an Initial of version 2 (type 0b01) is a call",
@@ -54,11 +54,11 @@
   id = parse(second)->destination;
   std::optional<std::string> closed;
   testbed.run(2500, [&] {
-    while (auto came = probe.udp.receive()) closed = came->bytes;
+    while (auto received = probe.udp.receive()) closed = received->bytes;
     return closed.has_value();
   });
   report.check("RFC 9369, 3.3.1", "its CONNECTION_CLOSE is under the keys of version 2",
-               closes_with(closed, id, kConnectionRefused, kVersion2));
+               is_close_with(closed, id, kConnectionRefused, kVersion2));
   report.check("RFC 9369, 3.1", "and carries version 2 in its header",
                closed && parse(*closed)->version == kVersion2);
   probe.send(std::string(1, '\xf0') + second.substr(1));  // in version 2 a Retry is 0b00, 0b11 a Handshake
--- a/conformance/suites/zero_rtt.cpp
+++ b/conformance/suites/zero_rtt.cpp
@@ -8,17 +8,17 @@
 
 void zero_rtt(Report& report) {
   report.suite("0-rtt");
-  Testbed testbed({"g-1"}, usual());
+  Testbed testbed({"g-1"}, default_options());
   Client& first = testbed.client();
-  bool good = up(testbed, first) && asks(testbed, first, "first") &&
+  bool good = connects(testbed, first) && request_succeeds(testbed, first, "first") &&
               testbed.run(1000, [&] { return first.resumption().has_value(); });
   report.check("RFC 9001, 4.6.1", "a session ticket passes", good);
   if (!good) return;
   Resumption ticket = *first.resumption();
   ClientOptions options;
   options.resume = &ticket;
-  auto play = [&](const char* section, const char* words,
-                  std::function<std::vector<std::string>(std::vector<std::string>)> order) {
+  auto run_case = [&](const char* section, const char* words,
+                      std::function<std::vector<std::string>(std::vector<std::string>)> order) {
     Client& c = testbed.client(options);
     std::string text = std::string("early ") + words;
     c.request(text);
@@ -36,7 +36,7 @@
     report.check(section, words, served && testbed.worker(0).executed[text] == 1);
   };
   // The flight of this stack is one datagram with an Initial and 0-RTT in it: the two are taken apart.
-  auto apart = [](const std::vector<std::string>& flight) {
+  auto split_flight = [](const std::vector<std::string>& flight) {
     std::string initial, early;
     for (const std::string& datagram : flight) {
       std::string_view rest = datagram;
@@ -50,20 +50,21 @@
     initial.resize(std::max<std::size_t>(initial.size(), 1200), '\0');
     return std::pair(initial, early);
   };
-  play("RFC 9000, 17.2.3", "0-RTT coalesced with its Initial is served once",
-       [](std::vector<std::string> flight) { return flight; });
-  play("RFC 9000, 17.2.3", "0-RTT after its Initial is served once", [&](std::vector<std::string> flight) {
-    auto [initial, early] = apart(flight);
-    return std::vector<std::string>{initial, early};
-  });
-  play("RFC 9000, 5.2.2", "0-RTT before its Initial is kept for it and served once",
-       [&](std::vector<std::string> flight) {
-         auto [initial, early] = apart(flight);
-         return std::vector<std::string>{early, initial};
-       });
+  run_case("RFC 9000, 17.2.3", "0-RTT coalesced with its Initial is served once",
+           [](std::vector<std::string> flight) { return flight; });
+  run_case("RFC 9000, 17.2.3", "0-RTT after its Initial is served once",
+           [&](std::vector<std::string> flight) {
+             auto [initial, early] = split_flight(flight);
+             return std::vector<std::string>{initial, early};
+           });
+  run_case("RFC 9000, 5.2.2", "0-RTT before its Initial is kept for it and served once",
+           [&](std::vector<std::string> flight) {
+             auto [initial, early] = split_flight(flight);
+             return std::vector<std::string>{early, initial};
+           });
   double calls = testbed.counter("marblehub_calls_total");
   Probe probe(testbed);
-  std::string early = bare_initial(fresh_id(), "source");
+  std::string early = bare_initial(unroutable_id(), "source");
   early[0] = static_cast<char>((early[0] & 0xcf) | 0x10);
   early.erase(5 + 1 + 10 + 1 + 6, 1);  // 0-RTT has no token
   probe.send(early);
--- a/conformance/testbed.cpp
+++ b/conformance/testbed.cpp
@@ -9,7 +9,7 @@
 namespace marblehub::peers {
 namespace {
 
-constexpr std::int64_t kHold = 5'000'000;
+constexpr std::int64_t kMaxWatchTime = 5'000'000;
 
 std::string temporary_path() {
   char path[] = "/tmp/marblehub-quic-XXXXXX";
@@ -37,8 +37,8 @@
   changed_[name] = ++index_;
 }
 
-bool StubRegistry::watched() const {
-  return std::any_of(conns_.begin(), conns_.end(), [](const Conn& conn) { return conn.held_since > 0; });
+bool StubRegistry::has_watch() const {
+  return std::any_of(conns_.begin(), conns_.end(), [](const Conn& conn) { return conn.watch_since > 0; });
 }
 
 json StubRegistry::list() const {
@@ -48,15 +48,15 @@
   return all;
 }
 
-void StubRegistry::answer(Conn& conn, bool whole) {
-  json entries = whole ? list() : json::array();
-  if (!whole)
+void StubRegistry::answer(Conn& conn, bool full_list) {
+  json entries = full_list ? list() : json::array();
+  if (!full_list)
     for (auto& [name, entry] : entries_)
       if (changed_[name] > conn.from) entries.push_back(entry);
-  std::string body = json{{"index", index_}, {"snapshot", whole}, {"endpoints", entries}}.dump();
+  std::string body = json{{"index", index_}, {"snapshot", full_list}, {"endpoints", entries}}.dump();
   std::string text = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
   ::send(conn.fd, text.data(), text.size(), MSG_NOSIGNAL);
-  conn.held_since = 0;
+  conn.watch_since = 0;
 }
 
 void StubRegistry::step() {
@@ -79,10 +79,10 @@
         answer(conn, true);
       } else {
         conn.from = std::atoll(head.c_str() + from + 5);
-        conn.held_since = now_us();
+        conn.watch_since = now_us();
       }
     }
-    if (conn.held_since > 0 && (conn.from < index_ || now_us() - conn.held_since > kHold))
+    if (conn.watch_since > 0 && (conn.from < index_ || now_us() - conn.watch_since > kMaxWatchTime))
       answer(conn, false);
   }
   std::erase_if(conns_, [](const Conn& conn) { return conn.fd < 0; });
@@ -92,7 +92,7 @@
     : options(std::move(o)),
       quic_path_(temporary_path()),
       second_path_(temporary_path()),
-      more_(options.quic),
+      overrides_(options.quic),
       router_(free_endpoint(options.family)) {
   options.worker.family = options.family;
   options.worker.proxy = options.proxy;
@@ -100,7 +100,7 @@
     workers.push_back(std::make_unique<Worker>(name, options.worker));
     registry.set(name, workers.back()->address().text(), "ready");
   }
-  std::ofstream(quic_path_) << quic_file(router_).dump();
+  std::ofstream(quic_path_) << quic_settings(router_).dump();
   program = start(quic_path_);
 }
 
@@ -112,7 +112,7 @@
   std::remove(second_path_.c_str());
 }
 
-json Testbed::quic_file(const Endpoint& listen) const {
+json Testbed::quic_settings(const Endpoint& listen) const {
   const quic::IdConfig& id = options.worker.ids;
   json file = {{"enabled", true},
                {"listen", listen.text()},
@@ -128,7 +128,7 @@
                                      {"key", quic::hex(id.key)},
                                      {"length_in_id", id.length_in_id}}})}};
   if (!options.worker.reset_key.empty()) file["reset"] = {{"key", quic::hex(options.worker.reset_key)}};
-  file.update(more_);
+  file.update(overrides_);
   return file;
 }
 
@@ -136,7 +136,7 @@
   json settings = test::settings();
   settings["limits"]["probes"] = false;  // these stand-ins speak QUIC only
   return std::make_unique<test::Program>(registry.list(), settings, registry.port(), file, "/nonexistent",
-                                         options.files);
+                                         options.file_limit);
 }
 
 Client& Testbed::client(ClientOptions o) {
@@ -155,7 +155,7 @@
   return done();
 }
 
-bool Testbed::all_up() {
+bool Testbed::all_connected() {
   return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->handshaken(); });
 }
 
@@ -163,12 +163,12 @@
   return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->all_answered_once(); });
 }
 
-void Testbed::status(Worker& worker, const std::string& status) {
+void Testbed::set_status(Worker& worker, const std::string& status) {
   std::string address = worker.dead() ? "127.0.0.1:1" : worker.address().text();
   registry.set(worker.name, address, status);
 }
 
-void Testbed::tell_address(Worker& worker) { status(worker, "ready"); }
+void Testbed::publish_address(Worker& worker) { set_status(worker, "ready"); }
 
 void Testbed::restart_router() {
   program.reset();
@@ -177,14 +177,14 @@
 
 Endpoint Testbed::second_router() {
   Endpoint at = free_endpoint(options.family);
-  std::ofstream(second_path_) << quic_file(at).dump();
+  std::ofstream(second_path_) << quic_settings(at).dump();
   second = start(second_path_);
   return at;
 }
 
-void Testbed::write_quic(const json& more) {
-  more_.update(more);
-  std::ofstream(quic_path_) << quic_file(router_).dump();
+void Testbed::write_quic(const json& overrides) {
+  overrides_.update(overrides);
+  std::ofstream(quic_path_) << quic_settings(router_).dump();
 }
 
 void Testbed::reload() {
--- a/conformance/testbed.h
+++ b/conformance/testbed.h
@@ -25,16 +25,16 @@
            std::int64_t since_ms = 0);
   void step();
   json list() const;
-  bool watched() const;  // whether a watch is held, so that news are told at once
+  bool has_watch() const;  // whether a watch is held, so that news are told at once
 
  private:
   struct Conn {
     int fd;
     std::string in;
-    std::int64_t held_since = 0;
+    std::int64_t watch_since = 0;
     std::int64_t from = -1;  // of the watch that is held
   };
-  void answer(Conn& conn, bool whole);
+  void answer(Conn& conn, bool full_list);
 
   int fd_, port_;
   std::int64_t index_ = 1;
@@ -48,7 +48,7 @@
   bool proxy = false;
   json quic = json::object();  // laid over the file's usual contents
   int deadline_ms = 1500;
-  rlim_t files = 1024;
+  rlim_t file_limit = 1024;
   WorkerOptions worker;
 };
 
@@ -61,16 +61,16 @@
   // Runs everyone for so long, or until `done`; whether it was.
   bool run(
       int ms, const std::function<bool()>& done = [] { return false; });
-  bool all_up();        // whether every client has its connection
-  bool all_answered();  // whether every client has every answer, once
+  bool all_connected();  // whether every client has its connection
+  bool all_answered();   // whether every client has every answer, once
   Worker& worker(std::size_t i) { return *workers[i]; }
-  void status(Worker& worker, const std::string& status);  // tells the registry
-  void tell_address(Worker& worker);                       // after a restart
+  void set_status(Worker& worker, const std::string& status);  // tells the registry
+  void publish_address(Worker& worker);                        // after a restart
   // Kills the balancer outright and starts it anew on the same addresses, knowing its list only.
   void restart_router();
   // A second one beside it, with the same files but its own address.
   Endpoint second_router();
-  void write_quic(const json& more);  // another quic.json; then reload()
+  void write_quic(const json& overrides);  // another quic.json; then reload()
   void reload();
   double counter(const std::string& name, bool second = false);
   std::string metric_text(bool second = false);
@@ -83,10 +83,10 @@
   std::unique_ptr<test::Program> program, second;
 
  private:
-  json quic_file(const Endpoint& listen) const;
+  json quic_settings(const Endpoint& listen) const;
   std::unique_ptr<test::Program> start(const std::string& file);
   std::string quic_path_, second_path_;
-  json more_;
+  json overrides_;
   Endpoint router_;
 };
 
--- a/tools/marblehub_quic.cpp
+++ b/tools/marblehub_quic.cpp
@@ -67,15 +67,15 @@
 // Runs all suites, or the one named `only`. Returns the exit code.
 int run_conformance(const std::string& only, bool as_json) {
   nlohmann::json lines = nlohmann::json::array();
-  conformance::Report report([&](const conformance::Line& line) {
+  conformance::Report report([&](const conformance::Result& result) {
     if (as_json) {
-      lines.push_back({{"suite", line.suite},
-                       {"section", line.section},
-                       {"requirement", line.words},
-                       {"passed", line.passed}});
+      lines.push_back({{"suite", result.suite},
+                       {"section", result.section},
+                       {"requirement", result.requirement},
+                       {"passed", result.passed}});
     } else {
-      std::cout << (line.passed ? "passed  " : "FAILED  ") << line.suite << "  [" << line.section << "] "
-                << line.words << std::endl;
+      std::cout << (result.passed ? "passed  " : "FAILED  ") << result.suite << "  [" << result.section
+                << "] " << result.requirement << std::endl;
     }
   });
   bool found = false;
@@ -87,10 +87,10 @@
   if (!found) {
     std::cerr << "marblehub-quic: unknown suite " << only << "; known suites:\n";
     for (const conformance::Suite& suite : conformance::suites())
-      std::cerr << "  " << suite.name << "  " << suite.about << '\n';
+      std::cerr << "  " << suite.name << "  " << suite.description << '\n';
     return 2;
   }
-  std::size_t failed = report.failed(), all = report.lines().size();
+  std::size_t failed = report.failed(), all = report.results().size();
   if (as_json) {
     std::cout << nlohmann::json{{"requirements", lines}, {"passed", all - failed}, {"failed", failed}}.dump(2)
               << '\n';
