--- a/src/quic/flow.cpp
+++ b/src/quic/flow.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr int kMaxMoveRequests = 5;
+constexpr int kMaxMoveRequests = 5;  // for one move; repeated in each sweep until the worker sends END
 constexpr std::size_t kAmplificationFactor = 3;  // RFC 9000, 8.1
 
 }  // namespace
 
-// One attempt over QUIC. Until the worker's first reply it owns its path; then the path goes on by itself.
+// One attempt over QUIC. It owns the flow's path until the worker's first reply establishes the connection.
 class Attempt final : public core::Attempt {
  public:
   Attempt(Flow& flow, core::Exchange& exchange) : flow_(flow), exchange_(exchange) {}
@@ -28,9 +28,10 @@
     flow_.front.remove_pending_attempt(flow_);
     flow_.front.drop_path(*std::exchange(flow_.path, nullptr));
   }
+  // Reports the failure in the next iteration of the event loop.
   void fail(Outcome why) {
     failure_timer_ = std::make_unique<net::TimerWatch>(flow_.front.loop_, [this, why] {
-      exchange_.worker_ended(why, CloseKind::aborted);  // this ends with it
+      exchange_.worker_ended(why, CloseKind::aborted);  // destroys this attempt
     });
     failure_timer_->start(0);
   }
@@ -59,8 +60,8 @@
   return true;
 }
 
-// Where addresses are validated at all, a call that has not shown its own may be made up. Only 0-RTT can run
-// before a worker has replied, and nobody can make that up.
+// Without address validation, or with a validated address, a timeout is the worker's fault. Otherwise the
+// call may come from a spoofed address, unless its flight has 0-RTT, which cannot be spoofed.
 bool Flow::timeout_blames_worker() const {
   if (validated || front.settings_.retry.mode == RetryMode::never) return true;
   if (!handshake_state) return true;
@@ -92,7 +93,7 @@
 void Flow::close_call(std::string_view reason) {
   exchange = nullptr;
   last_used = front.loop_.now();
-  if (routed_by_address) {  // without its keys there is nothing to say it with
+  if (routed_by_address) {  // without its Initial keys no CONNECTION_CLOSE can be sent
     finished = true;
     return;
   }
@@ -133,8 +134,8 @@
     attempt->fail(Outcome::connect_failed);
     return attempt;
   }
-  // Our own want of a descriptor or of a place in the table says nothing of the worker; nor does a client
-  // that another worker's Retry has bound.
+  // The worker is not at fault for a lack of descriptors or table entries in the balancer, nor for a client
+  // bound to another worker by its Retry.
   path = bound_by_retry ? nullptr : front.make_path(client, *target);
   if (!path) {
     attempt->fail(Outcome::not_sent);
--- a/src/quic/flow.h
+++ b/src/quic/flow.h
@@ -1,5 +1,6 @@
-// A call from its first Initial, and the connection that came of it; and the paths on which it goes. Small,
-// as there are tens of thousands: what only the handshake needs is freed with it.
+// The state of one call and its connection, of paths between clients and workers, and of sockets to workers.
+// Flows and paths are kept small, since there are tens of thousands; the state that only the handshake needs
+// is freed when it ends.
 #pragma once
 
 #include <memory>
@@ -17,44 +18,52 @@
 class Flow;
 class Path;
 
-// A socket to one worker: of all its clients (proxy-v2) or of one path (socket).
+/// A connected socket to one worker, shared by all its clients (forwarding proxy-v2) or dedicated to one path
+/// (forwarding socket).
 class Upstream {
  public:
+  /// `dedicated_path` is null for a shared socket.
   Upstream(Front& front, WorkerTable::Worker& worker, Path* dedicated_path);
-  bool open();  // to where the worker is now
+  /// Connects to the worker's current address; false where the system refuses.
+  bool open();
+  /// Closes the socket and discards queued datagrams.
   void close();
   bool is_open() const { return static_cast<bool>(fd_); }
   int fd() const { return fd_.get(); }
 
   Front& front;
   WorkerTable::Worker& worker;
-  Path* const dedicated_path;  // none where it serves all
+  Path* const dedicated_path;  // null for a shared socket
   std::unique_ptr<Sender> sender;
-  bool unflushed = false;  // there is something to flush
+  bool unflushed = false;  // datagrams are queued in `sender`
 
  private:
   net::Fd fd_;
   net::IoWatch io_;
 };
 
-// One client address to one worker.
+/// The path between one client address and one worker. Owned by the front.
 class Path {
  public:
   Path(const Endpoint& client, WorkerTable::Worker& worker) : worker(worker), client(client) {}
 
   WorkerTable::Worker& worker;
   Endpoint client;
-  Flow* flow = nullptr;                          // the call or connection that it carries, where known
-  std::unique_ptr<Upstream> dedicated_upstream;  // its socket where it has one of its own
+  Flow* flow = nullptr;                          // the call or connection that it carries, if known
+  std::unique_ptr<Upstream> dedicated_upstream;  // forwarding socket only
   Time last_used = 0;
-  bool indexed = false;  // in the table by client and worker
-  // Until its connection is known: how often each side has spoken, and the latest id.
+  bool indexed = false;  // in the front's index by client address and worker
+  // Until its connection is known: the datagrams of each side, counted up to 255, and the client's latest
+  // destination id.
   std::uint8_t client_datagrams = 0, worker_datagrams = 0;
   ConnectionId last_id;
-  // In the order of use, so that the longest unused gives way at once.
+  // Neighbours in the list of paths without a known connection, from which the least recently used is
+  // evicted.
   Path *older = nullptr, *newer = nullptr;
 };
 
+/// A call from the client's first Initial, then the connection established from it. Shared with the core as
+/// both sides of its exchange.
 class Flow final : public core::ClientSide, public core::WorkerSide {
  public:
   Flow(Front& front, const Header& header, const Endpoint& from);
@@ -65,7 +74,8 @@
   void failed(std::string_view) override;
   void deliver(std::string_view) override {}
   void hold(bool) override {}
-  // Only the worker can move its client: the connection is its own. It is asked until it says END.
+  // Asks the worker to move its client, since only the worker terminates the connection. The request is
+  // repeated until the worker sends END.
   void redirect() override;
   void ended(core::CloseKind) override;
 
@@ -74,8 +84,8 @@
                                                const std::string& address, Time wait) override;
 
   void request_move();
-  // Whether so much more may go to the client: three times what came in until its address is validated
-  // (RFC 9000, 8.1).
+  // Whether so many more bytes may be sent to the client, which are then counted: at most three times the
+  // bytes received until its address is validated (RFC 9000, 8.1).
   bool allow_reply(std::size_t bytes);
   bool timeout_blames_worker() const;
   bool refused() const { return handshake_state && !handshake_state->close_packet.empty(); }
@@ -83,25 +93,28 @@
     return first_destination == id || (original_destination && *original_destination == id);
   }
   Front& front;
-  ConnectionId first_destination, client_source;  // what its Initials carry; the key in the table
-  // Until it stands, or its answer is out of use.
+  ConnectionId first_destination, client_source;  // the ids in its Initials; the key in the table
+  // State that is needed until the connection is established, or until its CONNECTION_CLOSE expires.
   struct HandshakeState {
-    std::vector<std::string> flight;  // the client's first datagrams, for another attempt
-    ConnectionId initial_keys_id;     // the id that its Initial keys come from: a worker's Retry changes it
-    std::string close_packet;         // the answer to a call that was not established
+    std::vector<std::string>
+        flight;  // the client's first datagrams, replayed to the worker of the next attempt
+    ConnectionId
+        initial_keys_id;       // the id that its Initial keys are derived from; a worker's Retry changes it
+    std::string close_packet;  // sent to a client whose call has failed
   };
   std::unique_ptr<HandshakeState> handshake_state;
-  std::unique_ptr<ConnectionId> original_destination;  // the first id of all, where a Retry changed it
+  std::unique_ptr<ConnectionId>
+      original_destination;  // the destination id of the first Initial, where a Retry replaced it
   std::uint32_t version = kVersion1;
   Endpoint client;
   core::Exchange* exchange = nullptr;
-  Path* path = nullptr;  // to the worker that holds it, or that is being tried
+  Path* path = nullptr;  // to the worker of the connection or of the pending attempt
   std::vector<ConnectionId> linked_ids;
   bool is_established = false, finished = false, validated = false, attempt_pending = false;
-  bool routed_by_address = false;  // its ids name no worker: it is known by its address alone
-  bool bound_by_retry = false;     // its worker has sent it a Retry: no other could take it up
+  bool routed_by_address = false;  // its ids are unroutable; it is identified by the client address
+  bool bound_by_retry = false;     // the worker has sent a Retry, which no other worker can validate
   signed char move_requests_left = 0;
-  std::size_t bytes_received = 0, bytes_sent = 0;  // until validated
+  std::size_t bytes_received = 0, bytes_sent = 0;  // counted until validated
   Time last_used = 0;
 
  private:
--- a/src/quic/front.cpp
+++ b/src/quic/front.cpp
@@ -14,18 +14,14 @@
 
 namespace {
 
-constexpr int kMaxBatches = 4;  // taken from clients before others have their turn
-constexpr std::size_t kMaxFlightDatagrams =
-    8;  // datagrams of a client's first flight that are kept for a retry
-constexpr std::size_t kMaxEarlyDataClients =
-    64;  // clients whose 0-RTT came before their Initial, and of each
-constexpr std::size_t kMaxEarlyDatagrams = 4;
+constexpr int kMaxBatches = 4;                    // received in one iteration of the event loop
+constexpr std::size_t kMaxFlightDatagrams = 8;    // buffered of a client's first flight, for further attempts
+constexpr std::size_t kMaxEarlyDataClients = 64;  // clients whose 0-RTT is buffered before their Initial
+constexpr std::size_t kMaxEarlyDatagrams = 4;     // of each such client
 constexpr Time kEarlyDataLifetime = 500'000;
 constexpr Time kSweepInterval = 200'000;
-constexpr Time kClosePacketLifetime =
-    3'000'000;  // a client that repeats its Initial gets the same answer so long
-constexpr std::size_t kMinAddressRoutedPacket =
-    43;  // of a packet without a worker's id that may begin a call
+constexpr Time kClosePacketLifetime = 3'000'000;  // repeated Initials get the same CONNECTION_CLOSE so long
+constexpr std::size_t kMinAddressRoutedPacket = 43;  // shorter packets with an unroutable id begin no call
 
 }  // namespace
 
@@ -87,7 +83,7 @@
   sweep_timer_.start(kSweepInterval);
 }
 
-// An attempt holds on to its flow: none may outlive the table.
+// Attempts refer to their flow, so all exchanges end before the table is destroyed.
 Front::~Front() {
   for (auto& [key, flow] : flows_)
     if (core::Exchange* exchange = std::exchange(flow->exchange, nullptr))
@@ -103,11 +99,11 @@
     if (worker.health != marblehub::policy::Health::deleted) names.push_back(name);
   if (auto found = server_id_conflicts(next, names); !found.empty()) throw ConfigError(found[0]);
   std::vector<std::string> restart_keys = needs_restart(settings_, next);
-  // From here on nothing fails.
+  // Nothing below throws.
   next.listen = settings_.listen;
   next.forwarding = settings_.forwarding;
   ids_.replace(next.ids, loop_.now(), next.retirement_period);
-  // Tokens that are under way must go on counting: only another way or another key begins anew.
+  // Issued tokens stay valid unless the mode or the keys change.
   const ValidationSettings &old_retry = settings_.retry, &new_retry = next.retry;
   if (old_retry.mode != new_retry.mode || old_retry.secret != new_retry.secret ||
       old_retry.from_rate != new_retry.from_rate || old_retry.token_lifetime != new_retry.token_lifetime ||
@@ -120,8 +116,6 @@
   return restart_keys;
 }
 
-// ---- Datagrams from clients ------------------------------------------------------------------------
-
 void Front::receive_from_clients() {
   now_ = loop_.now();
   for (int i = 0; i < kMaxBatches; ++i) {
@@ -138,7 +132,7 @@
   const Endpoint& from = datagram.from;
   auto header = parse(datagram.bytes);
   if (!header || header->type == PacketType::version_negotiation || header->type == PacketType::retry)
-    return malformed_.add();  // a client sends neither of these two
+    return malformed_.add();  // only servers send these two
   refresh_workers();
   if (header->type == PacketType::short_header) {
     auto id = ids_.codec().decode(header->destination, false);
@@ -163,12 +157,11 @@
     }
     return flow.is_established ? forward(flow, bytes, datagram) : handle_pending(flow, datagram, bytes);
   }
-  if (Flow* flow = find_linked(header->destination)) {  // an id that its worker gave out
-    flow->validated = true;                             // to know it, it has heard the worker
+  if (Flow* flow = find_linked(header->destination)) {  // an id issued by its worker
+    flow->validated = true;                             // only a client that received a reply knows it
     return flow->is_established ? forward(*flow, bytes, datagram) : handle_pending(*flow, datagram, bytes);
   }
-  // An Initial whose id names a worker only by chance, or by design, has no claim to it: where a call goes,
-  // and whether anything new goes to a worker that drains, is the module's to say.
+  // The policy selects the worker of a new call, whatever server id the client's first Initial encodes.
   if (header->type == PacketType::initial) return handle_initial(*header, datagram, bytes);
   if (header->type == PacketType::zero_rtt) return buffer_early_data(*header, bytes);
   if (auto id = ids_.codec().decode(header->destination, true)) return route_by_id(*id, bytes, datagram);
@@ -178,7 +171,7 @@
 
 void Front::send_version_negotiation(const Header& header, std::string_view bytes, const Endpoint& from) {
   unknown_version_.add();
-  // Only a datagram that could begin a connection is answered: the answer is never longer than what came.
+  // Smaller datagrams cannot begin a connection; the reply is never longer than the datagram.
   if (bytes.size() >= kMinInitialDatagramSize)
     send_to_client(from, version_negotiation(header, settings_.versions));
 }
@@ -232,17 +225,17 @@
   return call;
 }
 
-// The one place where a call of this front begins.
+// Adds a flow to the table and passes its call to the core.
 void Front::begin_call(std::shared_ptr<Flow> flow, FlowKey key, std::string_view bytes) {
   Flow* raw = flow.get();
   flows_.emplace(key, std::move(flow));
   raw->last_used = now_;
   raw->bytes_received = bytes.size();
   core::Exchange& exchange = dispatcher_.accept_call(call(), *raw, *raw);
-  if (!raw->refused() && !raw->finished) raw->exchange = &exchange;  // else it was answered from within
+  if (!raw->refused() && !raw->finished) raw->exchange = &exchange;  // otherwise it ended inside accept_call
 }
 
-// More of a call that no worker has replied to. The client may have another address by now.
+// A datagram of a call without a reply from a worker yet. The client's address may have changed.
 void Front::handle_pending(Flow& flow, const Datagram& datagram, std::string_view bytes) {
   flow.last_used = now_;
   if (!(flow.client == datagram.from)) {
@@ -257,7 +250,7 @@
   if (flow.path) send_handshake_datagram(flow, bytes);
 }
 
-// 0-RTT that has overtaken its Initial (RFC 9000, 5.2.2) waits for it a moment.
+// Buffers 0-RTT that arrives before its Initial (RFC 9000, 5.2.2).
 void Front::buffer_early_data(const Header& header, std::string_view bytes) {
   std::string key(flow_key(header.destination, header.source).view());
   auto it = early_data_.find(key);
@@ -268,7 +261,7 @@
   if (it->second.datagrams.size() < kMaxEarlyDatagrams) it->second.datagrams.emplace_back(bytes);
 }
 
-// The unroutable codepoint (draft, 3.1): the id names no worker, so the client's address has to.
+// A packet with the unroutable codepoint (QUIC-LB, 3.1) is routed by its client's address.
 void Front::route_by_address(std::string_view bytes, const Datagram& datagram) {
   FlowKey key = address_key(datagram.from);
   if (auto known = flows_.find(key.view()); known != flows_.end()) {
@@ -278,7 +271,7 @@
     if (flow.finished) return;
     return flow.is_established ? forward(flow, bytes, datagram) : handle_pending(flow, datagram, bytes);
   }
-  // Nothing proves such a packet's address or that it belongs to anything: in a flood none is taken.
+  // Such a packet cannot be validated, so while Retry is required none begins a call.
   if (bytes.size() < kMinAddressRoutedPacket || !(bytes[0] & 0x40) || closed_ ||
       validation_.requires_retry() || flows_.size() >= settings_.max_calls)
     return unknown_id_.add();
@@ -304,7 +297,7 @@
   if (!path) return;
   touch(*path);
   path->last_id = id.id;
-  if (path->flow) {  // the client took up another of its ids
+  if (path->flow) {  // the client uses another of its connection ids
     link_id(*path->flow, id.id);
     path->flow->last_used = now_;
   } else {
@@ -314,13 +307,13 @@
   send_to_worker(*path, bytes, datagram.ecn);
 }
 
-// A connection goes on from whatever address its client has now.
+// Forwards a packet of an established connection, also from a new client address (RFC 9000, 9).
 void Front::forward(Flow& flow, std::string_view bytes, const Datagram& datagram) {
   flow.last_used = now_;
   if (!flow.path) return;
   WorkerTable::Worker& worker = flow.path->worker;
   if (workers_.is_unreachable(worker)) {
-    auto header = parse(bytes);  // it was one: it has been parsed before
+    auto header = parse(bytes);  // never fails: the datagram was parsed before
     auto id = ids_.codec().decode(header->destination, header->type != PacketType::short_header);
     if (id) send_stateless_reset(id->id, bytes, datagram.from);
     fail_call(flow, core::Outcome::reset);
@@ -338,7 +331,7 @@
 }
 
 void Front::send_stateless_reset(std::string_view id, std::string_view bytes, const Endpoint& to) {
-  // Also for a handshake's packet (RFC 9000, 10.3): its client may have the token already.
+  // Also for handshake packets, whose client may already have the token (RFC 9000, 10.3).
   auto packet = reset_.answer(id, bytes.size(), now_);
   if (!packet) return;
   stateless_resets_.add();
@@ -350,20 +343,18 @@
   send_now(fd_.get(), "", bytes, &client);
 }
 
-// ---- Lists and time --------------------------------------------------------------------------------
-
 void Front::refresh_workers() {
   if (!workers_stale_ && workers_version_ == dispatcher_.list_version()) return;
   workers_stale_ = false;
   workers_version_ = dispatcher_.list_version();
-  // A worker that is somewhere else now is spoken to there: its sockets to the old address go.
+  // Sockets to a worker whose address has changed are closed.
   for (WorkerTable::Worker* worker :
        workers_.refresh(dispatcher_.workers(), settings_, ids_.codec().configs())) {
     if (auto shared = shared_upstreams_.find(worker); shared != shared_upstreams_.end()) {
       std::erase(unflushed_, shared->second.get());
       shared->second->close();
-      loop_.defer_release(
-          std::shared_ptr<Upstream>(std::move(shared->second)));  // what it received may have led here
+      // Deferred, since a callback of this socket may be on the stack.
+      loop_.defer_release(std::shared_ptr<Upstream>(std::move(shared->second)));
       shared_upstreams_.erase(shared);
     }
     std::vector<Path*> affected;
@@ -371,7 +362,7 @@
       if (&path->worker == worker && path->dedicated_upstream) affected.push_back(raw);
     for (Path* path : affected) {
       std::erase(unflushed_, path->dedicated_upstream.get());
-      path->dedicated_upstream->close();  // opened anew with the next datagram
+      path->dedicated_upstream->close();  // reopened for the next datagram
     }
   }
 }
--- a/src/quic/front.h
+++ b/src/quic/front.h
@@ -1,9 +1,11 @@
-// The second front: clients and gateways that speak QUIC, routed by connection id. It terminates no
-// connection. A new client's Initial is a call to the core; later packets follow the worker id in their
-// connection id, whatever address they come from. docs/quic.md describes what it does and cannot do.
+// The QUIC front: a QUIC-LB load balancer (draft-ietf-quic-load-balancers) that routes packets by connection
+// id and terminates no connection. A client's first Initial becomes a call to the core, which selects the
+// worker; later packets follow the server id in their destination connection id, from any client address.
+// docs/quic.md describes its features and limits.
 //
-// front.cpp: what comes from clients, reload and time. worker_side.cpp: sockets to workers and what comes
-// from them. tables.cpp: flows, ids and paths. flow.cpp: a call's life between them.
+// front.cpp: datagrams from clients, reload and the periodic sweep. worker_side.cpp: sockets to workers and
+// datagrams from them. tables.cpp: the tables of flows, connection ids and paths. flow.cpp: the state of a
+// call.
 #pragma once
 
 #include <map>
@@ -28,14 +30,19 @@
 
 using core::Time;
 
+/// The QUIC front. It owns its sockets, its tables and all flows; the references given to the constructor
+/// must outlive it.
 class Front {
  public:
+  /// Listens on the address in the settings; throws ConfigError where an address or class in them is invalid
+  /// or the address is not available.
   Front(net::Loop& loop, core::Dispatcher& dispatcher, QuicSettings settings,
         net::DescriptorBudget& descriptors, metrics::Registry& metrics);
   ~Front();
-  void close();  // new clients are taken no more; what stands goes on
-  // Another file, whole or not at all: throws ConfigError with the key that stands against it. No
-  // connection is cut. Returns the keys that take a restart to follow.
+  /// Refuses new connections from now on; established connections continue.
+  void close();
+  /// Applies new settings without closing any connection. Throws ConfigError with the offending key and then
+  /// changes nothing. Returns the keys whose change takes effect only after a restart.
   std::vector<std::string> reload(QuicSettings settings);
 
  private:
@@ -43,8 +50,9 @@
   friend class Upstream;
   friend class Attempt;
 
-  using FlowKey = InlineBytes<41>;  // both ids of the client's Initials, the length of the first before them
-  using PathKey = InlineBytes<26>;  // the client's address, and the worker's index
+  // The length of the destination id of the client's Initials, that id, and the source id; or an address key.
+  using FlowKey = InlineBytes<41>;
+  using PathKey = InlineBytes<26>;  // the worker's index and the client's address
   static FlowKey flow_key(std::string_view destination, std::string_view source);
   static FlowKey address_key(const Endpoint& client);
   static PathKey path_key(const Endpoint& client, const WorkerTable::Worker& worker);
@@ -55,13 +63,14 @@
   void receive_from_clients();
   void handle_client_datagram(const Datagram& datagram);
   void send_version_negotiation(const Header& header, std::string_view bytes, const Endpoint& from);
-  // `sound` is the part of the datagram that may be passed on.
+  // `packets`: the leading packets of the datagram that share its first destination id; only these may be
+  // forwarded.
   void handle_initial(const Header& header, const Datagram& datagram, std::string_view packets);
   void accept_initial(const Header& header, const Datagram& datagram, std::string_view packets,
                       const std::optional<RetryToken>& token);
   void handle_pending(Flow& flow, const Datagram& datagram, std::string_view bytes);
   void route_by_address(std::string_view bytes, const Datagram& datagram);
-  core::Call call() const;  // what every call of this front asks for
+  core::Call call() const;  // the request class and deadline of every call of this front
   void begin_call(std::shared_ptr<Flow> flow, FlowKey key, std::string_view bytes);
   void route_by_id(const IdCodec::Decoded& id, std::string_view bytes, const Datagram& datagram);
   void forward(Flow& flow, std::string_view bytes, const Datagram& datagram);
@@ -76,9 +85,10 @@
   void handle_worker_datagram(Upstream& upstream, const Datagram& datagram);
   void handle_long_header_reply(Upstream& upstream, std::string_view bytes, const Endpoint& client,
                                 unsigned char ecn);
+  // A worker's reply and the call that it belongs to.
   struct Reply {
-    Flow* flow = nullptr;  // the call it answers; none where no one waits for it
-    std::string frames;    // of an Initial, opened
+    Flow* flow = nullptr;  // none where no pending call matches
+    std::string frames;    // the decrypted frames of an Initial
   };
   Reply match_reply(Upstream& upstream, const Header& header, std::string_view bytes, const Endpoint& client);
   std::vector<Flow*> pending_attempts(Upstream& upstream, const Endpoint& client);
@@ -127,23 +137,25 @@
   net::TimerWatch sweep_timer_;
   Receiver receiver_;
   Sender to_clients_;
-  std::vector<Upstream*> unflushed_;  // with something to flush
-  Time now_ = 0;                      // of the batch under way
+  std::vector<Upstream*> unflushed_;  // with datagrams queued
+  Time now_ = 0;                      // the time of the current batch; 0 outside of batches
   bool closed_ = false;
 
   Table<FlowKey, std::shared_ptr<Flow>> flows_;
-  Table<ConnectionId, Flow*> flows_by_id_;  // connection ids known to be of a flow
-  Table<PathKey, Path*> paths_;             // by client and worker
+  Table<ConnectionId, Flow*> flows_by_id_;  // by connection ids issued by the worker
+  Table<PathKey, Path*> paths_;             // by client address and worker
   std::unordered_map<Path*, std::unique_ptr<Path>> all_paths_;
+  // The list of paths without a known connection, in the order of their last use.
   Path *oldest_ = nullptr, *newest_ = nullptr;
   std::unordered_map<WorkerTable::Worker*, std::unique_ptr<Upstream>> shared_upstreams_;  // proxy-v2
-  // Calls that are out at a worker that has not replied yet, by client and worker: several may be alike.
+  // Flows whose worker has not replied yet, by client address and worker; several may have the same key.
   std::unordered_multimap<PathKey, Flow*, BytesHash, BytesEqual> pending_attempts_;
+  // 0-RTT datagrams that arrived before their Initial.
   struct EarlyData {
     std::vector<std::string> datagrams;
     Time received_at;
   };
-  std::unordered_map<std::string, EarlyData> early_data_;  // 0-RTT that overtook its Initial
+  std::unordered_map<std::string, EarlyData> early_data_;  // by flow key
   std::uint64_t workers_version_ = 0;
   bool workers_stale_ = true;
 
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -1,5 +1,5 @@
-// Flows, the connection ids that lead to them, and paths. What is over is freed by the loop before its next
-// wait, as its own callback may be what led here.
+// The front's tables of flows, connection ids and paths. Removed objects are released by the event loop
+// before its next wait, since one of their callbacks may be on the stack.
 #include <algorithm>
 
 #include "quic/front.h"
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxLinkedIds = 8;  // connection ids remembered for one connection
 
-// The core's hold on a connection that this router did not set up: there is nothing to give up.
+// The attempt of an adopted connection, which this front did not establish; it owns nothing.
 class AdoptedAttempt final : public core::Attempt {
  public:
   void deliver(std::string_view) override {}
@@ -27,7 +27,7 @@
   return std::string_view(bytes, 1 + destination.size() + source.size());
 }
 
-// No id is so long: the two kinds of key are never alike.
+// The first byte exceeds every id length, so that address keys never equal id keys.
 Front::FlowKey Front::address_key(const Endpoint& client) {
   char bytes[41];
   bytes[0] = '\xff';
@@ -48,7 +48,7 @@
 Path* Front::make_path(const Endpoint& client, WorkerTable::Worker& worker) {
   bool needs_descriptor = settings_.forwarding == Forwarding::socket;
   bool full = all_paths_.size() >= settings_.max_paths;
-  if (full || (needs_descriptor && descriptors_.scarce())) {  // the one unused for longest is evicted
+  if (full || (needs_descriptor && descriptors_.scarce())) {  // evict the least recently used path
     bool can_evict = oldest_ != nullptr;
     if (can_evict) drop_path(*oldest_);
     if (!can_evict && (full || (needs_descriptor && !descriptors_.make_one_available()))) {
@@ -82,7 +82,7 @@
   path.indexed = paths_.try_emplace(path_key(path.client, path.worker), &path).second || path.indexed;
 }
 
-// The one place where a path's descriptor is given back.
+// Removes a path from all tables and closes its dedicated socket.
 void Front::drop_path(Path& path) {
   remove_from_idle_list(path);
   if (path.flow && path.flow->path == &path) path.flow->path = nullptr;
@@ -97,7 +97,7 @@
   all_paths_.erase(it);
 }
 
-// Paths that carry no known connection stand in the order of their use, the oldest first to go.
+// Removes a path from the list of paths without a known connection.
 void Front::remove_from_idle_list(Path& path) {
   if (path.older) path.older->newer = path.newer;
   if (path.newer) path.newer->older = path.older;
@@ -124,12 +124,12 @@
   path.flow = &flow;
 }
 
-// The old path still carries what is under way, until it falls idle.
+// The old path still forwards packets in flight, until it is idle.
 void Front::detach(Flow& flow) {
   Path* path = std::exchange(flow.path, nullptr);
   if (!path || path->flow != &flow) return;
   path->flow = nullptr;
-  path->client_datagrams = path->worker_datagrams = 0;  // what it carries next must show itself anew
+  path->client_datagrams = path->worker_datagrams = 0;  // a next connection on it is adopted on new evidence
   touch(*path);
 }
 
@@ -159,8 +159,8 @@
   flow.linked_ids.erase(flow.linked_ids.begin());
 }
 
-// A connection that another router set up, or this one before it started anew, has come here: the core counts
-// it from now on. Both sides have spoken on it, so it is no mere guess at an id.
+// Adds a connection that another router established, or this one before a restart; the core counts it from
+// now on. Both sides have sent packets on the path, so the id is not a guess.
 void Front::adopt(Path& path) {
   if (flows_.size() >= settings_.max_calls) return;
   Header header;
@@ -177,7 +177,7 @@
   core::Exchange& exchange =
       dispatcher_.adopt(call(), *flow, *flow, path.worker.name, std::make_unique<AdoptedAttempt>());
   if (flow->move_requests_left == 0 && !flow->finished)
-    flow->exchange = &exchange;  // else it has ended from within
+    flow->exchange = &exchange;  // otherwise it ended inside adopt
 }
 
 void Front::remove(Flow& flow) {
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -1,4 +1,4 @@
-// Sockets to workers, what goes out on them and what comes back.
+// The front's sockets to workers, and datagrams to and from them.
 #include <fmt/format.h>
 
 #include "log/log.h"
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr int kMaxBatches = 4;
+constexpr int kMaxBatches = 4;  // received from a worker in one iteration of the event loop
 
-// Control messages between the router and a worker share the workers' sockets. No QUIC packet and no other
-// protocol that RFC 9443 tells apart by its first octet begins like this.
+// The prefix of control messages, which share the workers' sockets with QUIC packets. No protocol that RFC
+// 9443 distinguishes by its first byte begins with it.
 constexpr std::string_view kControlPrefix = "\x04MARBLE1 ";
 
-// Whether a worker's first words turn the client away: a CONNECTION_CLOSE of type 0x1c with
-// CONNECTION_REFUSED (RFC 9000, 20.1), after nothing but padding and acknowledgements of one range.
+// Whether the frames of a worker's Initial refuse the connection: a CONNECTION_CLOSE of type 0x1c with
+// CONNECTION_REFUSED (RFC 9000, 20.1), preceded only by PADDING and an ACK frame of one range.
 bool is_refusal(std::string_view frames) {
   while (!frames.empty() && frames[0] == 0) frames.remove_prefix(1);
   if (!frames.empty() && frames[0] == 2) {
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-// ---- Sockets ---------------------------------------------------------------------------------------
+// ---- Sockets to workers ----------------------------------------------------------------------------
 
 Upstream::Upstream(Front& f, WorkerTable::Worker& w, Path* o)
     : front(f),
@@ -58,7 +58,7 @@
   unflushed = false;
 }
 
-// The socket that a path goes by, opened where it is not yet; none for want of a descriptor or an address.
+// The path's socket, opened if necessary; null without an available descriptor or a known address.
 Upstream* Front::get_upstream(Path& path) {
   std::unique_ptr<Upstream>& slot =
       settings_.forwarding == Forwarding::socket ? path.dedicated_upstream : shared_upstreams_[&path.worker];
@@ -80,12 +80,14 @@
   unflushed_.push_back(upstream);
 }
 
-// A datagram of a call that its worker may not know yet: at once, and with the ids that a Retry has changed.
+// Sends a datagram of a pending call at once. After a Retry of the router it includes the original and the
+// Retry's connection id, which the worker needs for its transport parameters (RFC 9000, 7.3).
 void Front::send_handshake_datagram(Flow& flow, std::string_view bytes) {
   Upstream* upstream = get_upstream(*flow.path);
   if (!upstream) return table_full_.add();
-  bool after_retry = flow.original_destination && !(*flow.original_destination ==
-                                                    flow.first_destination);  // by us; a worker knows its own
+  bool after_retry =
+      flow.original_destination &&
+      !(*flow.original_destination == flow.first_destination);  // of the router, not of a worker
   std::array<char, kMaxProxyHeaderSize> header;
   std::size_t size = 0;
   if (!upstream->dedicated_path) {
@@ -142,7 +144,7 @@
 }
 
 void Front::handle_worker_datagram(Upstream& upstream, const Datagram& datagram) {
-  if (!upstream.is_open()) return;  // given up by what came before in this batch
+  if (!upstream.is_open()) return;  // closed by an earlier datagram of this batch
   std::string_view bytes = datagram.bytes;
   Endpoint client;
   if (upstream.dedicated_path) {
@@ -159,10 +161,10 @@
   if (bytes[0] & 0x80) return handle_long_header_reply(upstream, bytes, client, datagram.ecn);
   Path* path = upstream.dedicated_path ? upstream.dedicated_path : find_path(client, upstream.worker);
   if (!path || (path->flow && !path->flow->is_established)) {
-    // Only a client without a worker's id has no handshake here, so that a short packet is its first reply.
+    // Only for a flow routed by address can the first reply be a short-header packet.
     for (Flow* flow : pending_attempts(upstream, client))
       if (flow->routed_by_address) return establish(*flow, bytes);
-    // With one socket for all, what a connection of another router's or start's is sent needs no path.
+    // With a shared socket, packets of a connection that another router or start established need no path.
     if (upstream.dedicated_path || path) return late_replies_.add();
   }
   forward_to_client(client, path, bytes, datagram.ecn);
@@ -192,9 +194,9 @@
   return found;
 }
 
-// Several calls of one client may be out at one worker, with the same client id or with none: which of them
-// an Initial or a Retry answers is shown by its protection, whose keys come from the call's first id. That
-// also tells a reply to a call that has been given up, which no one may be shown any more.
+// One client address may have several pending calls at one worker, with the same or empty client ids. The
+// keys of an Initial and the tag of a Retry derive from the call's first destination id and so identify the
+// call. A reply to a call that has ended matches none.
 Front::Reply Front::match_reply(Upstream& upstream, const Header& header, std::string_view bytes,
                                 const Endpoint& client) {
   Flow* candidate = nullptr;
@@ -220,7 +222,7 @@
   auto header = parse(bytes);
   if (!header || header->type == PacketType::version_negotiation ||
       header->type == PacketType::unsupported_version)
-    return malformed_.add();  // the router itself has negotiated
+    return malformed_.add();  // the router negotiates versions, not the worker
   if (header->type != PacketType::retry)
     if (Flow* flow = find_linked(header->source); flow && flow->is_established && flow->path)
       return forward_to_client(client, flow->path, bytes, ecn);
@@ -233,7 +235,7 @@
       return establish(*flow, bytes);
     }
     if (header->type == PacketType::retry) {
-      // The client begins again with the id that the worker has chosen; the call waits on, bound to it.
+      // The client repeats its Initial with the worker's id; the call stays pending, bound to this worker.
       if (flow->bound_by_retry || header->source.empty()) return malformed_.add();
       if (!flow->original_destination)
         flow->original_destination = std::make_unique<ConnectionId>(flow->first_destination);
@@ -244,8 +246,8 @@
     if (!flow->allow_reply(bytes.size())) return amplification_stops_.add();
     return send_to_client(client, bytes);
   }
-  // An Initial that no call waits for answers one that has been given up. Of a handshake that began before
-  // this start or at another router, the client has spoken here first.
+  // An unmatched Initial or Retry replies to a call that has ended. A handshake that began at another router
+  // or before a restart has a path, since its client has sent packets here.
   Path* path = upstream.dedicated_path ? upstream.dedicated_path : find_path(client, upstream.worker);
   if (header->type == PacketType::initial || header->type == PacketType::retry || !path ||
       (path->flow && !path->flow->is_established))
@@ -263,8 +265,8 @@
 
 // ---- Control messages ------------------------------------------------------------------------------
 
-// The connection that a worker means: by the id of the client's first Initial, or by any that it has given
-// out.
+// The flow that a control message names, by the destination id of its first Initial or by an id that the
+// worker has issued; null unless it belongs to this worker.
 Flow* Front::find_flow(Upstream& upstream, const Endpoint& client, std::string_view id) {
   Flow* flow = find_linked(id);
   if (!flow)
@@ -290,7 +292,7 @@
     auto other = unhex(argument);
     if (!other || other->size() > kMaxConnectionIdLength || !ids_.codec().decode(*other, true))
       return malformed_.add();
-    // Where it had been taken for a connection of its own, it is one no longer.
+    // The id may belong to a flow that was adopted as a separate connection.
     if (Flow* duplicate = find_linked(*other); duplicate && duplicate != flow) {
       if (core::Exchange* exchange = std::exchange(duplicate->exchange, nullptr))
         exchange->client_left(CloseKind::orderly);
@@ -313,7 +315,7 @@
   }
 }
 
-// ---- A worker's port is closed ---------------------------------------------------------------------
+// ---- Closed ports of workers -----------------------------------------------------------------------
 
 void Front::fail_call(Flow& flow, Outcome outcome) {
   if (flow.exchange) flow.exchange->worker_ended(outcome, CloseKind::aborted);
@@ -333,7 +335,7 @@
   std::vector<std::shared_ptr<Flow>> affected;
   for (auto& [key, flow] : flows_)
     if (flow->path && &flow->path->worker == &worker) affected.push_back(flow);
-  // Refused before any reply: the worker has not seen it. After that it took the connection along.
+  // Without a reply the worker has not seen the call; an established connection has ended with the worker.
   for (auto& flow : affected)
     if (flow->path) fail_call(*flow, flow->is_established ? Outcome::reset : Outcome::connect_failed);
 }
