--- a/src/quic/datagrams.cpp
+++ b/src/quic/datagrams.cpp
@@ -9,19 +9,19 @@
 namespace marblehub::quic {
 namespace {
 
-constexpr std::size_t kMessages = 64;      // in one sendmmsg
-constexpr std::size_t kSegments = 60;      // in one message under UDP_SEGMENT; the kernel takes 64
-constexpr std::size_t kSegmented = 64000;  // octets of such a message; the kernel takes 65,507
+constexpr std::size_t kMaxMessages = 64;           // in one sendmmsg
+constexpr std::size_t kMaxSegments = 60;           // in one message with UDP_SEGMENT; the kernel allows 64
+constexpr std::size_t kMaxSegmentedBytes = 64000;  // bytes of such a message; the kernel allows 65,507
 
-// Whether the kernel segments for us: found out by the first attempt.
-bool segmenting = true;
+// Whether the kernel supports UDP_SEGMENT; cleared by the first failed send.
+bool segmentation_supported = true;
 
 void set(int fd, int level, int name, int value) { ::setsockopt(fd, level, name, &value, sizeof value); }
 
 net::Fd open_socket(int family) {
   net::Fd fd(::socket(family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) return fd;
-  // A kernel without one of these serves all the same, with less speed or without the marks.
+  // These options are optional: without them ECN or batched receives are not available.
   if (family == AF_INET6) {
     set(fd.get(), IPPROTO_IPV6, IPV6_V6ONLY, 1);
     set(fd.get(), IPPROTO_IPV6, IPV6_RECVTCLASS, 1);
@@ -34,7 +34,7 @@
   return fd;
 }
 
-// The marks and the size of the segments that a message was put together from; 0: it is one datagram.
+// Reads the ECN codepoint and the size of the segments that UDP_GRO has merged; 0: a single datagram.
 void read_control(msghdr& message, unsigned char& ecn, std::size_t& segment) {
   for (cmsghdr* c = CMSG_FIRSTHDR(&message); c; c = CMSG_NXTHDR(&message, c)) {
     if (c->cmsg_level == IPPROTO_IP && c->cmsg_type == IP_TOS) ecn = *CMSG_DATA(c) & 3;
@@ -51,10 +51,12 @@
   }
 }
 
+// The control data of a sent message: the ECN codepoint and the segment size.
 struct Control {
-  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int)) + CMSG_SPACE(sizeof(std::uint16_t))> octets;
+  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int)) + CMSG_SPACE(sizeof(std::uint16_t))> bytes;
 };
 
+// Writes one control message at `at` and returns the position of the next.
 template <class Value>
 cmsghdr* put_control(msghdr& message, cmsghdr* at, int level, int type, Value value) {
   at->cmsg_level = level;
@@ -84,23 +86,23 @@
   return fd;
 }
 
-Receiver::Receiver() : buffers_(std::make_unique_for_overwrite<char[]>(kBatch * kBuffer)) {
-  for (std::size_t i = 0; i < kBatch; ++i) {
-    parts_[i] = {buffers_.get() + i * kBuffer, kBuffer};
-    messages_[i].msg_hdr.msg_iov = &parts_[i];
+Receiver::Receiver() : buffers_(std::make_unique_for_overwrite<char[]>(kBatchSize * kBufferSize)) {
+  for (std::size_t i = 0; i < kBatchSize; ++i) {
+    iovecs_[i] = {buffers_.get() + i * kBufferSize, kBufferSize};
+    messages_[i].msg_hdr.msg_iov = &iovecs_[i];
     messages_[i].msg_hdr.msg_iovlen = 1;
   }
 }
 
 Receiver::Status Receiver::receive(int fd, bool connected, const std::function<void(const Datagram&)>& each) {
-  for (std::size_t i = 0; i < kBatch; ++i) {
+  for (std::size_t i = 0; i < kBatchSize; ++i) {
     msghdr& m = messages_[i].msg_hdr;
-    m.msg_name = connected ? nullptr : &names_[i];
-    m.msg_namelen = connected ? 0 : sizeof names_[i];
+    m.msg_name = connected ? nullptr : &addresses_[i];
+    m.msg_namelen = connected ? 0 : sizeof addresses_[i];
     m.msg_control = control_[i].data();
-    m.msg_controllen = kControl;
+    m.msg_controllen = kControlSize;
   }
-  int n = ::recvmmsg(fd, messages_.data(), kBatch, 0, nullptr);
+  int n = ::recvmmsg(fd, messages_.data(), kBatchSize, 0, nullptr);
   if (n < 0) return errno == ECONNREFUSED ? Status::port_closed : Status::drained;
   for (int i = 0; i < n; ++i) {
     msghdr& m = messages_[static_cast<std::size_t>(i)].msg_hdr;
@@ -118,7 +120,7 @@
       each(datagram);
     } while (!all.empty());
   }
-  return static_cast<std::size_t>(n) == kBatch ? Status::more : Status::drained;
+  return static_cast<std::size_t>(n) == kBatchSize ? Status::more : Status::drained;
 }
 
 Sender::Entry& Sender::add(std::string_view payload, unsigned char ecn, const Endpoint& to) {
@@ -132,74 +134,79 @@
 }
 
 Sender::FlushResult Sender::flush(int fd) {
-  static std::array<mmsghdr, kMessages> messages;
-  static std::array<std::array<iovec, 2 * kSegments>, kMessages> parts;
-  static std::array<Control, kMessages> control;
-  static std::array<sockaddr_in6, kMessages> names;
-  static std::array<std::size_t, kMessages> held;  // datagrams in each message
+  static std::array<mmsghdr, kMaxMessages> messages;
+  static std::array<std::array<iovec, 2 * kMaxSegments>, kMaxMessages> iovecs;
+  static std::array<Control, kMaxMessages> control;
+  static std::array<sockaddr_in6, kMaxMessages> addresses;
+  static std::array<std::size_t, kMaxMessages> datagram_counts;  // datagrams in each message
   FlushResult result;
   std::size_t next = 0;
   while (next < count_) {
     std::size_t filled = 0, first = next;
-    for (; filled < kMessages && next < count_; ++filled) {
+    for (; filled < kMaxMessages && next < count_; ++filled) {
       const Entry& lead = entries_[next];
       msghdr& m = messages[filled].msg_hdr;
       m = {};
-      m.msg_iov = parts[filled].data();
-      std::size_t octets = 0, segments = 0;
-      // A run of datagrams to one peer, of one size (the last may be shorter) and one mark, is one message.
-      while (next < count_ && segments < kSegments) {
+      m.msg_iov = iovecs[filled].data();
+      std::size_t bytes = 0, segments = 0;
+      // Consecutive datagrams to one peer with one ECN codepoint and of one size (the last may be shorter)
+      // are sent as one message.
+      while (next < count_ && segments < kMaxSegments) {
         const Entry& e = entries_[next];
-        bool alike = e.to == lead.to && e.ecn == lead.ecn && e.size() <= lead.size();
-        if (segments > 0 && (!segmenting || !alike || octets + e.size() > kSegmented)) break;
+        bool mergeable = e.to == lead.to && e.ecn == lead.ecn && e.size() <= lead.size();
+        if (segments > 0 && (!segmentation_supported || !mergeable || bytes + e.size() > kMaxSegmentedBytes))
+          break;
         if (e.header_size > 0)
           m.msg_iov[m.msg_iovlen++] = {const_cast<char*>(e.header.data()), e.header_size};
         m.msg_iov[m.msg_iovlen++] = {const_cast<char*>(e.payload.data()), e.payload.size()};
-        octets += e.size();
+        bytes += e.size();
         segments += 1;
         next += 1;
         if (e.size() < lead.size()) break;
       }
-      held[filled] = segments;
+      datagram_counts[filled] = segments;
       if (lead.to.is_specified()) {
-        m.msg_name = &names[filled];
-        m.msg_namelen = lead.to.write(names[filled]);
+        m.msg_name = &addresses[filled];
+        m.msg_namelen = lead.to.write(addresses[filled]);
       }
-      m.msg_control = control[filled].octets.data();
+      m.msg_control = control[filled].bytes.data();
       auto* at = reinterpret_cast<cmsghdr*>(m.msg_control);
       if (segments > 1)
         at = put_control(m, at, IPPROTO_UDP, UDP_SEGMENT, static_cast<std::uint16_t>(lead.size()));
       if (lead.ecn != 0) {
-        bool six = family_ == AF_INET6;
-        put_control(m, at, six ? IPPROTO_IPV6 : IPPROTO_IP, six ? IPV6_TCLASS : IP_TOS, int{lead.ecn});
+        bool is_ipv6 = family_ == AF_INET6;
+        put_control(m, at, is_ipv6 ? IPPROTO_IPV6 : IPPROTO_IP, is_ipv6 ? IPV6_TCLASS : IP_TOS,
+                    int{lead.ecn});
       }
       if (m.msg_controllen == 0) m.msg_control = nullptr;
     }
     std::size_t done = 0;
-    bool again = false;
+    bool error_reported = false;
     while (done < filled) {
       int n = ::sendmmsg(fd, messages.data() + done, static_cast<unsigned>(filled - done), MSG_NOSIGNAL);
       if (n > 0) {
-        for (int i = 0; i < n; ++i) result.datagrams += held[done + static_cast<std::size_t>(i)];
+        for (int i = 0; i < n; ++i) result.datagrams += datagram_counts[done + static_cast<std::size_t>(i)];
         done += static_cast<std::size_t>(n);
-        again = false;
+        error_reported = false;
         continue;
       }
       if (n < 0 && errno == EINTR) continue;
-      if (n < 0 && errno == ECONNREFUSED && !again) {  // told of an earlier one; this one has not gone out
-        result.port_closed = again = true;
+      if (n < 0 && errno == ECONNREFUSED &&
+          !error_reported) {  // the error of an earlier datagram; this one was not sent
+        result.port_closed = error_reported = true;
         continue;
       }
-      if (n < 0 && held[done] > 1 && (errno == EINVAL || errno == EIO) && segmenting) {
-        segmenting = false;  // not on this kernel or device: from that message on they go one by one
+      if (n < 0 && datagram_counts[done] > 1 && (errno == EINVAL || errno == EIO) && segmentation_supported) {
+        segmentation_supported =
+            false;  // not supported by the kernel or device: send one by one from this message on
         std::size_t skipped = 0;
-        for (std::size_t i = 0; i < done; ++i) skipped += held[i];
+        for (std::size_t i = 0; i < done; ++i) skipped += datagram_counts[i];
         next = first + skipped;
         break;
       }
-      result.dropped += held[done];  // a full buffer or a datagram too long: the loss is for QUIC to mend
+      result.dropped += datagram_counts[done];  // full buffer or oversized datagram; QUIC recovers the loss
       done += 1;
-      again = false;
+      error_reported = false;
     }
   }
   count_ = 0;
@@ -207,10 +214,10 @@
 }
 
 void send_now(int fd, std::string_view header, std::string_view payload, const Endpoint* to) {
-  iovec parts[2] = {{const_cast<char*>(header.data()), header.size()},
-                    {const_cast<char*>(payload.data()), payload.size()}};
+  iovec iovecs[2] = {{const_cast<char*>(header.data()), header.size()},
+                     {const_cast<char*>(payload.data()), payload.size()}};
   msghdr m{};
-  m.msg_iov = header.empty() ? parts + 1 : parts;
+  m.msg_iov = header.empty() ? iovecs + 1 : iovecs;
   m.msg_iovlen = header.empty() ? 1 : 2;
   sockaddr_in6 name;
   if (to) {
--- a/src/quic/datagrams.h
+++ b/src/quic/datagrams.h
@@ -1,6 +1,6 @@
-// Datagrams in batches: recvmmsg and sendmmsg, with UDP_GRO and UDP_SEGMENT where the kernel has them, ECN
-// marks (RFC 3168; RFC 9000, 13.4) taken in and passed on, and don't-fragment set on all that is sent, as
-// QUIC asks (RFC 9000, 14). After the first rounds nothing here allocates.
+// Batched datagram I/O: recvmmsg and sendmmsg, with UDP_GRO and UDP_SEGMENT where the kernel supports them.
+// ECN codepoints (RFC 3168; RFC 9000, 13.4) are read and preserved, and don't-fragment is set on all sent
+// datagrams (RFC 9000, 14). No allocation in steady state.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,38 +16,45 @@
 
 namespace marblehub::quic {
 
+/// A received datagram.
 struct Datagram {
-  std::string_view bytes;  // good until the next receive
+  std::string_view bytes;  // valid until the next receive
   Endpoint from;           // unspecified on a connected socket
-  unsigned char ecn = 0;
+  unsigned char ecn = 0;   // the ECN codepoint, 0 to 3
 };
 
-// Nonblocking, close-on-exec; an empty Fd where the system refuses.
+/// UDP sockets, nonblocking and close-on-exec; an empty Fd where the system refuses.
 net::Fd listening_socket(const Endpoint& at);
 net::Fd connected_socket(const Endpoint& to);
 
-// The buffers that all sockets of a front share: they are read one after another.
+/// Receive buffers, shared by all sockets of a front, which are read one after another.
 class Receiver {
  public:
   Receiver();
-  enum class Status { drained, more, port_closed };  // refused: the peer's port is closed (ICMP)
-  // One batch of what has come. `more` where it was full.
+  /// The result of a receive.
+  enum class Status {
+    drained,     ///< the socket has no more datagrams
+    more,        ///< the batch was full, so there may be more
+    port_closed  ///< an ICMP error showed the peer's port closed
+  };
+  /// Receives one batch and passes each datagram to `each`. `connected`: the socket is connected, and the
+  /// datagrams carry no source address.
   Status receive(int fd, bool connected, const std::function<void(const Datagram&)>& each);
 
  private:
-  static constexpr std::size_t kBatch = 32, kBuffer = 65536, kControl = 64;
-  std::unique_ptr<char[]> buffers_;  // never written as a whole: pages that no datagram reaches cost nothing
-  std::array<mmsghdr, kBatch> messages_{};
-  std::array<iovec, kBatch> parts_{};
-  std::array<sockaddr_in6, kBatch> names_{};
-  std::array<std::array<char, kControl>, kBatch> control_{};
+  static constexpr std::size_t kBatchSize = 32, kBufferSize = 65536, kControlSize = 64;
+  std::unique_ptr<char[]> buffers_;  // not zeroed, so that unused pages stay unmapped
+  std::array<mmsghdr, kBatchSize> messages_{};
+  std::array<iovec, kBatchSize> iovecs_{};
+  std::array<sockaddr_in6, kBatchSize> addresses_{};
+  std::array<std::array<char, kControlSize>, kBatchSize> control_{};
 };
 
-// What is to go out through one socket, until it is flushed. Payloads are not copied: they must live until
-// then.
+/// A queue of datagrams to send through one socket. Payloads are not copied and must stay valid until the
+/// flush.
 class Sender {
  public:
-  // The bytes that stand before the payload are written by the caller into what `add` returns, if any.
+  /// A queued datagram. The caller of `add` may write a PROXY header into it, which precedes the payload.
   struct Entry {
     Endpoint to;  // unspecified on a connected socket
     std::array<char, kMaxProxyHeaderSize> header;
@@ -56,13 +63,17 @@
     unsigned char ecn = 0;
     std::size_t size() const { return header_size + payload.size(); }
   };
-  explicit Sender(int family) : family_(family) {}  // of the socket: AF_INET or AF_INET6
+  /// `family` of the socket: AF_INET or AF_INET6.
+  explicit Sender(int family) : family_(family) {}
+  /// Queues a datagram; the reference is valid until the next `add`.
   Entry& add(std::string_view payload, unsigned char ecn, const Endpoint& to = Endpoint());
   bool empty() const { return count_ == 0; }
+  /// The numbers of datagrams sent and dropped.
   struct FlushResult {
     std::size_t datagrams = 0, dropped = 0;
-    bool port_closed = false;  // the peer's port was found closed
+    bool port_closed = false;  // an ICMP error showed the peer's port closed
   };
+  /// Sends all queued datagrams; those that the system refuses are dropped.
   FlushResult flush(int fd);
 
  private:
@@ -71,7 +82,7 @@
   std::size_t count_ = 0;
 };
 
-// One at once, outside of any batch.
+/// Sends one datagram at once, outside of any batch; errors are ignored.
 void send_now(int fd, std::string_view header, std::string_view payload, const Endpoint* to = nullptr);
 
 }  // namespace marblehub::quic
--- a/src/quic/worker_table.cpp
+++ b/src/quic/worker_table.cpp
@@ -9,7 +9,7 @@
 namespace marblehub::quic {
 namespace {
 
-constexpr Time kTryAgain = 200'000;  // to a closed port, one datagram so often
+constexpr Time kClosedPortInterval = 200'000;  // the interval at which a closed port gets a datagram
 
 }  // namespace
 
@@ -19,7 +19,7 @@
       if (old.config.rotation == config.rotation && !(old.config == config))
         return fmt::format("ids: rotation {} is still being retired with other contents", config.rotation);
   for (const IdConfig& config : next)
-    for (const IdConfig& old : now_)
+    for (const IdConfig& old : current_)
       if (old.rotation == config.rotation && !(old == config))
         return fmt::format(
             "ids: rotation {} is in force with other contents; give the new ones another rotation",
@@ -27,25 +27,25 @@
   return "";
 }
 
-void IdConfigs::replace(std::vector<IdConfig> next, Time now, Time retire) {
-  auto has = [](const std::vector<IdConfig>& in, const IdConfig& config) {
+void IdConfigs::replace(std::vector<IdConfig> next, Time now, Time retirement_period) {
+  auto contains = [](const std::vector<IdConfig>& in, const IdConfig& config) {
     return std::find(in.begin(), in.end(), config) != in.end();
   };
-  for (const IdConfig& old : now_)
-    if (!has(next, old)) retiring_.push_back({old, now + retire});
-  std::erase_if(retiring_, [&](const Retiring& r) { return has(next, r.config); });  // it has come back
-  now_ = std::move(next);
+  for (const IdConfig& old : current_)
+    if (!contains(next, old)) retiring_.push_back({old, now + retirement_period});
+  std::erase_if(retiring_, [&](const Retiring& r) { return contains(next, r.config); });  // configured again
+  current_ = std::move(next);
   rebuild();
 }
 
 bool IdConfigs::expire(Time now) {
-  bool any = std::erase_if(retiring_, [&](const Retiring& r) { return r.until <= now; }) > 0;
-  if (any) rebuild();
-  return any;
+  bool expired = std::erase_if(retiring_, [&](const Retiring& r) { return r.until <= now; }) > 0;
+  if (expired) rebuild();
+  return expired;
 }
 
 void IdConfigs::rebuild() {
-  std::vector<IdConfig> all = now_;
+  std::vector<IdConfig> all = current_;
   for (const Retiring& r : retiring_) all.push_back(r.config);
   codec_ = IdCodec(std::move(all));
 }
@@ -57,14 +57,16 @@
   for (const auto& [name, listed] : list) {
     Worker*& worker = by_name_[name];
     if (!worker) {
-      all_.push_back(std::make_unique<Worker>());
-      worker = all_.back().get();
+      workers_.push_back(std::make_unique<Worker>());
+      worker = workers_.back().get();
       worker->name = name;
-      worker->index = all_.size() - 1;
+      worker->index = workers_.size() - 1;
     }
-    auto own = settings.workers.find(name);
-    bool given = own != settings.workers.end() && !own->second.address.empty();
-    Endpoint address = Endpoint::parse(given ? own->second.address : listed.address).value_or(Endpoint());
+    auto override_settings = settings.workers.find(name);
+    bool has_address =
+        override_settings != settings.workers.end() && !override_settings->second.address.empty();
+    Endpoint address = Endpoint::parse(has_address ? override_settings->second.address : listed.address)
+                           .value_or(Endpoint());
     if (!(address == worker->address)) {
       if (worker->address.is_specified()) moved.push_back(worker);
       worker->address = address;
@@ -73,17 +75,17 @@
     worker->deleted = listed.health == marblehub::policy::Health::deleted;
   }
   by_id_.clear();
-  // Those that are there first: a gone one must not take the id of its replacement.
+  // Present workers first, so that a deleted one does not occupy the server id of its replacement.
   for (bool deleted : {false, true})
-    for (auto& worker : all_) {
+    for (auto& worker : workers_) {
       if (worker->deleted != deleted) continue;
       for (const IdConfig& config : configs) {
         Key key{config.rotation, ServerId(server_id_of(settings, worker->name, config))};
-        auto [it, fresh] = by_id_.try_emplace(key, worker.get());
-        if (fresh || deleted) continue;
+        auto [it, inserted] = by_id_.try_emplace(key, worker.get());
+        if (inserted || deleted) continue;
         if (it->second)
-          log::error("quic: {} and {} have the same server id: neither is routed to", it->second->name,
-                     worker->name);
+          log::error("quic: {} and {} have the same server id; packets to neither are routed",
+                     it->second->name, worker->name);
         it->second = nullptr;
       }
     }
@@ -107,7 +109,7 @@
 
 bool WorkerTable::may_send(Worker& worker, Time now) {
   if (!worker.port_closed) return true;
-  if (now - worker.last_attempt_at < kTryAgain) return false;
+  if (now - worker.last_attempt_at < kClosedPortInterval) return false;
   worker.last_attempt_at = now;
   return true;
 }
