--- a/conformance/peers/connection.h
+++ b/conformance/peers/connection.h
@@ -1,5 +1,5 @@
-/// One end of a QUIC connection, on the ngtcp2 library with GnuTLS. The daemon links none of this. Everything
-/// runs in one thread: the owner polls each peer with `step`.
+/// QUIC connections of the test peers, based on ngtcp2 with GnuTLS; the balancer links neither. All peers run
+/// in one thread, and their owner polls each with `step`.
 #pragma once
 
 #include <ngtcp2/ngtcp2.h>
@@ -16,7 +16,7 @@
 
 namespace marblehub::peers {
 
-// One end of a connection. Streams carry whole texts: each side sends one and ends it.
+/// One endpoint of a connection. Each side sends one text message on a stream and closes it.
 class Connection {
  public:
   virtual ~Connection();
@@ -24,24 +24,32 @@
 
   bool handshaken() const { return conn_ && ngtcp2_conn_get_handshake_completed(conn_); }
   bool closed() const { return closed_; }
-  bool was_reset() const { return was_reset_; }                            // by a stateless reset
+  bool was_reset() const { return was_reset_; }                            // by a stateless reset of the peer
   std::optional<std::uint64_t> close_code() const { return close_code_; }  // of the peer's CONNECTION_CLOSE
   ngtcp2_conn* raw() { return conn_; }
   void write();
 
  protected:
   Connection();
+  /// Sends a datagram that ngtcp2 has produced.
   virtual void transmit(const ngtcp2_path& path, std::string_view bytes) = 0;
+  /// Called with the peer's message when the stream ends.
   virtual void on_message(std::int64_t stream, const std::string& text) = 0;
   virtual void on_handshake_completed() {}
+  /// Makes a connection id and its stateless reset token, which ngtcp2 announces to the peer.
   virtual void generate_id(ngtcp2_cid&, std::uint8_t*, std::size_t) = 0;
+  /// Passes a received datagram to ngtcp2.
   void read(const Endpoint& local, const Endpoint& remote, std::string_view bytes);
+  /// Handles expired timers.
   void expire();
+  /// Queues a message and the end of the stream.
   void send_text(std::int64_t stream, std::string text);
-  void close_with(std::uint64_t application_code);  // closes at once
+  /// Closes the connection with an application error code.
+  void close_with(std::uint64_t application_code);
   ngtcp2_callbacks callbacks(bool server);
   void finish_setup();
 
+  /// The messages of a stream, and how much of the outgoing one was sent.
   struct Stream {
     std::string out, in;
     std::size_t sent = 0;
--- a/conformance/peers/hop.cpp
+++ b/conformance/peers/hop.cpp
@@ -27,8 +27,8 @@
 
 std::vector<std::string> Hop::receive() {
   std::vector<std::string> out;
-  for (auto& datagram : sockets_)
-    while (auto received = datagram->receive()) {
+  for (auto& udp : sockets_)
+    while (auto received = udp->receive()) {
       bytes_in += received->bytes.size();
       if (happens(faults_.loss)) continue;
       if (happens(faults_.duplication)) out.push_back(received->bytes);
@@ -38,18 +38,18 @@
         out.push_back(std::move(received->bytes));
       }
     }
-  std::erase_if(delayed_in_, [&](DelayedDatagram& held) {
-    bool due = held.due_at <= now_us();
-    if (due) out.push_back(std::move(held.bytes));
+  std::erase_if(delayed_in_, [&](DelayedDatagram& delayed) {
+    bool due = delayed.due_at <= now_us();
+    if (due) out.push_back(std::move(delayed.bytes));
     return due;
   });
   return out;
 }
 
 void Hop::step() {
-  std::erase_if(delayed_out_, [&](const DelayedDatagram& held) {
-    bool due = held.due_at <= now_us();
-    if (due) socket().send(held.bytes, held.to);
+  std::erase_if(delayed_out_, [&](const DelayedDatagram& delayed) {
+    bool due = delayed.due_at <= now_us();
+    if (due) socket().send(delayed.bytes, delayed.to);
     return due;
   });
 }
--- a/conformance/peers/hop.h
+++ b/conformance/peers/hop.h
@@ -1,4 +1,4 @@
-/// The network between a client and the router: a hop that loses, repeats and delays datagrams.
+/// A simulated network between a client and the router, which loses, duplicates and delays datagrams.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,34 @@
 
 namespace marblehub::peers {
 
-// What the network between a client and the router does to datagrams, drawn from a seed. Shares are of 1.
+/// The probabilities (0 to 1) with which the network loses, duplicates and delays a datagram, and the seed of
+/// its random generator.
 struct Faults {
-  double loss = 0, duplication = 0, delay = 0;  // a delayed one is overtaken by those behind it
+  double loss = 0, duplication = 0, delay = 0;  // later datagrams overtake a delayed one
   std::int64_t delay_us = 20'000;
   std::uint64_t seed = 1;
 };
 
-// The hop that does it, both ways, around a client's socket; it can also give the client another address, as
-// a NAT does, without the client knowing.
+/// The network hop around a client's sockets, with faults in both directions. It can change the client's
+/// address without the client's knowledge, as a NAT does.
 class Hop {
  public:
   explicit Hop(int family, Faults faults = {});
   void send(std::string_view bytes, const Endpoint& to);
-  std::vector<std::string> receive();  // from the present address and all earlier ones
-  void step();                         // lets go of what was delayed
+  /// The datagrams that arrive at the current and at all previous addresses.
+  std::vector<std::string> receive();
+  /// Sends delayed datagrams that are due.
+  void step();
+  /// Opens a new socket, whose address replaces the current one.
   void rebind();
   const Endpoint& address() const { return sockets_.back()->local(); }
   Udp& socket() { return *sockets_.back(); }
   std::size_t bytes_in = 0, bytes_out = 0;
-  std::function<std::vector<std::string>(std::string)> tamper;  // of what is sent: several, other or none
+  /// Replaces each sent datagram by any number of others; unset: no change.
+  std::function<std::vector<std::string>(std::string)> tamper;
 
  private:
+  // A datagram that is delivered at `due_at`.
   struct DelayedDatagram {
     std::int64_t due_at;
     std::string bytes;
--- a/conformance/peers/ngtcp2_support.h
+++ b/conformance/peers/ngtcp2_support.h
@@ -1,4 +1,4 @@
-/// Small helpers between the project's types and those of ngtcp2 and GnuTLS.
+/// Conversions between the project's types and those of ngtcp2 and GnuTLS.
 #pragma once
 
 #include <ngtcp2/ngtcp2.h>
@@ -12,7 +12,7 @@
 
 namespace marblehub::peers {
 
-/// The application's close code for "come again".
+/// The application close code that asks the client to reconnect.
 inline constexpr std::uint64_t kMoveCloseCode = 0x4d;
 
 inline ngtcp2_tstamp now_ns() { return static_cast<ngtcp2_tstamp>(now_us()) * 1000; }
@@ -27,7 +27,7 @@
   return id;
 }
 
-// An endpoint in the form that the library and the system take; it lives as long as the call it is made for.
+/// An endpoint as a socket address for ngtcp2 and system calls, which keep pointers into it.
 struct SocketAddress {
   explicit SocketAddress(const Endpoint& e) : size(e.write(name)) {}
   operator ngtcp2_addr() { return {raw(), static_cast<ngtcp2_socklen>(size)}; }
@@ -36,7 +36,7 @@
   socklen_t size;
 };
 
-/// Throws std::runtime_error unless it is done.
+/// Throws std::runtime_error with the message `what` unless `done`.
 inline void require(bool done, const char* what) {
   if (!done) throw std::runtime_error(what);
 }
--- a/conformance/peers/served_connection.cpp
+++ b/conformance/peers/served_connection.cpp
@@ -57,7 +57,7 @@
   params.initial_max_streams_bidi = 100;
   params.initial_max_stream_data_bidi_remote = 65536;
   params.initial_max_data = 1 << 20;
-  params.active_connection_id_limit = 3;  // the library miscounts near its own bound of 8
+  params.active_connection_id_limit = 3;  // ngtcp2 miscounts ids near its own limit of 8
   params.max_idle_timeout = 30 * NGTCP2_SECONDS;
   params.original_dcid = cid_of(first_);
   if (retry) {
@@ -86,7 +86,7 @@
   });
   expire();
   if (!closed_) write();
-  // Ids are linked once the router knows the connection: after the first flight.
+  // Sent after the first flight, since the router accepts LINK only for an established connection.
   for (const std::string& id : std::exchange(unlinked_, {}))
     if (worker_.options.link_ids)
       worker_.send_control(fmt::format("LINK {} {}", quic::hex(first_), quic::hex(id)), client_);
--- a/conformance/peers/served_connection.h
+++ b/conformance/peers/served_connection.h
@@ -1,4 +1,4 @@
-/// A worker's end of a connection.
+/// The worker's endpoint of a connection.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,29 @@
 
 namespace marblehub::peers {
 
+/// A connection that a Worker has accepted; owned by it.
 class ServedConnection final : public Connection {
  public:
-  /// `original`: the id that the client's very first Initial went to; `retry`: the one that a Retry gave it.
+  /// `original`: the destination id of the client's first Initial; `retry`: the source id of the Retry, if
+  /// any.
   ServedConnection(Worker& worker, const ngtcp2_pkt_hd& hd, const Endpoint& client,
                    const std::string& original, const std::optional<std::string>& retry);
 
   void handle_datagram(const Endpoint& client, std::string_view bytes);
   void step();
-  /// Through another router than before: the one before is told that the connection has left it.
+  /// Sets the router that the latest datagram came through. On a change, the previous router gets LEFT.
   void update_router(const Endpoint& router);
-  /// Closes it with the code for "come again".
+  /// Closes the connection with kMoveCloseCode and sends END to the router.
   void move();
+  /// Whether `id` is the original id or one of the issued ids.
   bool has_id(std::string_view id) const;
   const Endpoint& client() const { return client_; }
 
   std::vector<std::string> ids;
 
  private:
-  struct Lock {  // a command that is answered only after a while
+  // A LOCK request, which is answered at `at`.
+  struct Lock {
     std::int64_t at;
     std::int64_t stream;
     std::string text;
@@ -43,10 +47,10 @@
   ngtcp2_transport_params transport_params(const std::optional<std::string>& retry) const;
 
   Worker& worker_;
-  const std::string first_;  // the id that the client's very first Initial went to
+  const std::string first_;  // the destination id of the client's first Initial
   Endpoint client_, router_;
   std::vector<Lock> locks_;
-  std::vector<std::string> unlinked_;
+  std::vector<std::string> unlinked_;  // issued ids that the router has not been sent yet
 };
 
 }  // namespace marblehub::peers
--- a/conformance/peers/tls.cpp
+++ b/conformance/peers/tls.cpp
@@ -24,7 +24,7 @@
   gnutls_x509_crt_init(&certificate);
   require(gnutls_x509_privkey_generate(key, GNUTLS_PK_ECDSA, GNUTLS_CURVE_TO_BITS(GNUTLS_ECC_CURVE_SECP256R1),
                                        0) == 0,
-          "no key can be made");
+          "cannot generate a private key");
   gnutls_x509_crt_set_version(certificate, 3);
   gnutls_x509_crt_set_dn_by_oid(certificate, GNUTLS_OID_X520_COMMON_NAME, 0, "worker", 6);
   gnutls_x509_crt_set_key(certificate, key);
@@ -32,9 +32,9 @@
   gnutls_x509_crt_set_activation_time(certificate, ::time(nullptr) - 3600);
   gnutls_x509_crt_set_expiration_time(certificate, ::time(nullptr) + 86400);
   require(gnutls_x509_crt_sign2(certificate, certificate, key, GNUTLS_DIG_SHA256, 0) == 0,
-          "no certificate can be made");
+          "cannot sign the certificate");
   gnutls_certificate_allocate_credentials(&server);
-  gnutls_certificate_allocate_credentials(&client);  // it trusts whoever answers
+  gnutls_certificate_allocate_credentials(&client);  // accepts any certificate
   gnutls_certificate_set_x509_key(server, &certificate, 1, key);
   gnutls_x509_crt_deinit(certificate);
   gnutls_x509_privkey_deinit(key);
--- a/conformance/peers/tls.h
+++ b/conformance/peers/tls.h
@@ -7,7 +7,7 @@
 
 namespace marblehub::peers {
 
-/// What a client was given by one worker any other takes up, as it would where they share their keys.
+/// The credentials of all peers. All workers share the ticket key, so that a ticket is valid at any of them.
 struct TlsCredentials {
   TlsCredentials();
   gnutls_certificate_credentials_t server, client;
@@ -15,13 +15,14 @@
   gnutls_anti_replay_t anti_replay;
 };
 
-/// Lives as long as the process.
+/// The shared credentials, which exist until the process ends.
 TlsCredentials& tls();
 
-/// TLS 1.3 with the ciphers that QUIC has.
+/// The GnuTLS priority string: TLS 1.3 with cipher suites that QUIC supports.
 extern const char* const kTlsPriority;
 
-/// Offers the application's protocol, and others that make the ClientHello longer by about `padding` octets.
+/// Offers the application's ALPN protocol, and dummy ones that lengthen the ClientHello by about `padding`
+/// bytes.
 void set_alpn(gnutls_session_t session, std::size_t padding);
 
 }  // namespace marblehub::peers
--- a/conformance/peers/udp.cpp
+++ b/conformance/peers/udp.cpp
@@ -44,7 +44,7 @@
 
 std::optional<Udp::ReceivedDatagram> Udp::receive() const {
   char buffer[65536];
-  alignas(cmsghdr) char handle_control[128];
+  alignas(cmsghdr) char control[128];
   sockaddr_in6 name{};
   iovec part{buffer, sizeof buffer};
   msghdr message{};
@@ -52,8 +52,8 @@
   message.msg_namelen = sizeof name;
   message.msg_iov = &part;
   message.msg_iovlen = 1;
-  message.msg_control = handle_control;
-  message.msg_controllen = sizeof handle_control;
+  message.msg_control = control;
+  message.msg_controllen = sizeof control;
   ssize_t n = ::recvmsg(fd_, &message, 0);
   if (n < 0) return std::nullopt;
   ReceivedDatagram received{std::string(buffer, static_cast<std::size_t>(n)),
--- a/conformance/peers/worker.cpp
+++ b/conformance/peers/worker.cpp
@@ -104,9 +104,8 @@
   std::string original = first;
   std::optional<std::string> retry;
   static const std::string secret = "worker's own token key";
-  if (auto told = original_ids_.find(first);
-      told != original_ids_.end()) {  // the router has asked for a Retry
-    original = told->second;
+  if (auto entry = original_ids_.find(first); entry != original_ids_.end()) {  // after a Retry of the router
+    original = entry->second;
     retry = first;
     last_retry = {original, first};
   } else if (options.retry) {
--- a/conformance/peers/worker.h
+++ b/conformance/peers/worker.h
@@ -1,4 +1,4 @@
-/// A real QUIC worker behind the router.
+/// A QUIC worker of the conformance tests.
 #pragma once
 
 #include <cstdint>
@@ -19,42 +19,46 @@
 
 class ServedConnection;
 
+/// The options of a worker.
 struct WorkerOptions {
   int family = AF_INET;
-  bool proxy = false;  // the router speaks proxy-v2 to it
+  bool proxy = false;  // the router sends a PROXY v2 header before each datagram
   quic::IdConfig ids{2, 4, 6, ""};
   std::string reset_key;
-  bool retry = false;         // asks for a Retry of its own
+  bool retry = false;         // sends Retry packets of its own
   bool refuse = false;        // closes every new connection with CONNECTION_REFUSED
-  bool busy = false;          // answers BUSY
-  bool unresponsive = false;  // takes everything and says nothing
-  bool link_ids = true;       // tells the router of the ids it gives out
+  bool busy = false;          // answers each Initial with BUSY
+  bool unresponsive = false;  // never answers
+  bool link_ids = true;       // sends LINK for each id it issues
   std::int64_t lock_delay_us = 80'000;
 };
 
+/// A worker, which accepts connections and answers each request with "OK" and its text.
 class Worker {
  public:
   Worker(std::string name, WorkerOptions options = {});
   ~Worker();
+  /// Processes received datagrams and timers and sends what is due; never blocks.
   void step();
-  // As a process that dies: its port is closed, its connections are gone with no word.
+  /// Closes the port and drops all connections without notice, as a crash does.
   void kill();
   bool dead() const { return !udp_; }
-  void restart();  // under its name, at another address, knowing nothing
+  /// Starts again with the same name, another address and no connections.
+  void restart();
 
   const std::string name, server_id;
   WorkerOptions options;
   const Endpoint& address() const { return udp_->local(); }
   std::size_t connections() const;
-  int initials = 0;  // first datagrams of connections it had not known
+  int initials = 0;  // Initials of unknown connections
   int accepted = 0;
-  int store_calls = 0;                  // connections set up, each of which would call the session store
-  std::map<std::string, int> executed;  // requests, by their text
+  int store_calls = 0;                  // one for each accepted connection
+  std::map<std::string, int> executed;  // how often each request was executed, by its text
   std::vector<std::int64_t> accepted_at;
-  std::set<std::string> moves;  // ids that the router asked it to move
+  std::set<std::string> moves;  // ids in the router's MOVE requests
   std::size_t datagrams = 0, ecn_marked = 0;
-  std::optional<std::pair<std::string, std::string>> last_retry;  // original and retry id, as told
-  std::set<std::string> client_addresses;  // addresses that the PROXY header or the socket named
+  std::optional<std::pair<std::string, std::string>> last_retry;  // original and Retry id
+  std::set<std::string> client_addresses;                         // from the PROXY headers or the socket
 
  private:
   friend class ServedConnection;
@@ -69,10 +73,10 @@
   std::unique_ptr<Udp> udp_;
   std::map<std::string, std::shared_ptr<ServedConnection>> by_id_;
   std::vector<std::shared_ptr<ServedConnection>> all_;
-  std::map<std::string, Endpoint> routers_;          // by client's address: where its datagrams come from
+  std::map<std::string, Endpoint> routers_;          // the router of each client, by client address
   std::map<std::string, std::string> original_ids_;  // retry id to original id
   std::mt19937_64 random_;
-  Endpoint listen_;  // the router's own address, as the PROXY header names it
+  Endpoint listen_;  // the router's address, from the PROXY header
 };
 
 }  // namespace marblehub::peers
--- a/conformance/testbed.cpp
+++ b/conformance/testbed.cpp
@@ -134,7 +134,7 @@
 
 std::unique_ptr<test::Program> Testbed::start(const std::string& file) {
   json settings = test::settings();
-  settings["limits"]["probes"] = false;  // these stand-ins speak QUIC only
+  settings["limits"]["probes"] = false;  // these workers speak QUIC only
   return std::make_unique<test::Program>(registry.list(), settings, registry.port(), file, "/nonexistent",
                                          options.file_limit);
 }
--- a/conformance/testbed.h
+++ b/conformance/testbed.h
@@ -1,4 +1,5 @@
-// The whole scene on loopback: a registry, workers, the balancer as the platform starts it, and clients.
+// The testbed of the conformance suites, on loopback: a stub registry, workers, the balancer process, and
+// clients. All peers run in the thread that calls Testbed::run.
 #pragma once
 
 #include <functional>
@@ -14,25 +15,30 @@
 
 using nlohmann::json;
 
-// Answers the whole list at once and a watch when there is something newer (or after a while).
+/// A stub of the registry's HTTP interface. It answers a request for the full list at once, and a watch when
+/// there is a newer change or after a timeout.
 class StubRegistry {
  public:
   StubRegistry();
   ~StubRegistry();
   int port() const { return port_; }
-  // since_ms: the Unix time at which it started; 0: long ago.
+  /// Adds or updates an endpoint. `since_ms` is the Unix time at which it started; 0: long ago.
   void set(const std::string& name, const std::string& address, const std::string& status,
            std::int64_t since_ms = 0);
+  /// Accepts connections and answers requests; never blocks.
   void step();
+  /// All endpoints whose status is not `gone`.
   json list() const;
-  bool has_watch() const;  // whether a watch is held, so that news are told at once
+  /// Whether the balancer has a pending watch, so that the next change reaches it at once.
+  bool has_watch() const;
 
  private:
+  // A connection of the balancer.
   struct Conn {
     int fd;
     std::string in;
-    std::int64_t watch_since = 0;
-    std::int64_t from = -1;  // of the watch that is held
+    std::int64_t watch_since = 0;  // when the pending watch began; 0: none
+    std::int64_t from = -1;        // the index that the pending watch starts from
   };
   void answer(Conn& conn, bool full_list);
 
@@ -43,35 +49,42 @@
   std::vector<Conn> conns_;
 };
 
+/// The options of a testbed.
 struct TestbedOptions {
   int family = AF_INET;
-  bool proxy = false;
-  json quic = json::object();  // laid over the file's usual contents
+  bool proxy = false;          // forwarding proxy-v2 instead of socket
+  json quic = json::object();  // replaces keys of the default quic.json
   int deadline_ms = 1500;
-  rlim_t file_limit = 1024;
+  rlim_t file_limit = 1024;  // the balancer's limit of descriptors
   WorkerOptions worker;
 };
 
+/// Starts the balancer and one worker for each name; owns all peers and processes.
 class Testbed {
  public:
   Testbed(const std::vector<std::string>& names, TestbedOptions options = {});
   ~Testbed();
 
+  /// Adds a client that connects to the first router.
   Client& client(ClientOptions options = {});
-  // Runs everyone for so long, or until `done`; whether it was.
+  /// Polls all peers for `ms` milliseconds or until `done`; returns whether it was done.
   bool run(
       int ms, const std::function<bool()>& done = [] { return false; });
-  bool all_connected();  // whether every client has its connection
-  bool all_answered();   // whether every client has every answer, once
+  bool all_connected();  ///< whether every client has completed its handshake
+  bool all_answered();   ///< whether every client has exactly one answer to each request
   Worker& worker(std::size_t i) { return *workers[i]; }
-  void set_status(Worker& worker, const std::string& status);  // tells the registry
-  void publish_address(Worker& worker);                        // after a restart
-  // Kills the balancer outright and starts it anew on the same addresses, knowing its list only.
+  /// Sets the worker's status in the registry.
+  void set_status(Worker& worker, const std::string& status);
+  /// Updates the worker's address in the registry after a restart.
+  void publish_address(Worker& worker);
+  /// Kills the balancer and starts a new process with the same addresses and files.
   void restart_router();
-  // A second one beside it, with the same files but its own address.
+  /// Starts a second balancer with the same settings and its own address, which is returned.
   Endpoint second_router();
-  void write_quic(const json& overrides);  // another quic.json; then reload()
+  /// Changes keys of quic.json; reload() applies them.
+  void write_quic(const json& overrides);
   void reload();
+  /// The value of a metric, and the metrics as text, of the first or the second balancer.
   double counter(const std::string& name, bool second = false);
   std::string metric_text(bool second = false);
   const Endpoint& router() const { return router_; }
