--- a/conformance/report.h
+++ b/conformance/report.h
@@ -1,4 +1,4 @@
-// What a conformance run says: one line a requirement, with the section that asks for it.
+// The results of a conformance run, one for each requirement.
 #pragma once
 
 #include <functional>
@@ -7,15 +7,20 @@
 
 namespace marblehub::conformance {
 
+/// The result of one requirement: its suite, the section of the specification that states it, its text, and
+/// whether the router satisfies it.
 struct Result {
   std::string suite, section, requirement;
   bool passed;
 };
 
+/// Collects results in the order of the checks and passes each on as soon as it is known.
 class Report {
  public:
   explicit Report(std::function<void(const Result&)> on_result) : on_result_(std::move(on_result)) {}
+  /// Sets the suite of the results that follow.
   void suite(std::string name) { suite_ = std::move(name); }
+  /// Adds the result of one requirement.
   void check(std::string section, std::string requirement, bool passed) {
     results_.push_back({suite_, std::move(section), std::move(requirement), passed});
     on_result_(results_.back());
@@ -33,11 +38,13 @@
   std::vector<Result> results_;
 };
 
+/// A suite: its name on the command line, a one-line description, and the function that runs its checks.
 struct Suite {
   const char* name;
   const char* description;
   void (*run)(Report&);
 };
+/// All suites, in the order in which they run.
 const std::vector<Suite>& suites();
 
 }  // namespace marblehub::conformance
--- a/conformance/suites/amplification.cpp
+++ b/conformance/suites/amplification.cpp
@@ -1,4 +1,4 @@
-// Three times what came in, and workers that answer after their call was given up.
+// The anti-amplification limit, and replies of workers to calls that have ended.
 #include "suites/suites.h"
 #include "suites/support.h"
 
@@ -8,7 +8,7 @@
   report.suite("amplification");
   TestbedOptions options = default_options();
   Testbed testbed({"g-1"}, options);
-  // A client that sends one Initial and falls silent: all that it gets stays within three times that.
+  // A client that sends a single Initial receives at most three times its size.
   Client& c = testbed.client();
   bool sent = false;
   c.hop.tamper = [&](std::string bytes) {
@@ -18,7 +18,7 @@
   testbed.run(2000);
   report.check("RFC 9000, 8.1", "an address that is not validated gets at most three times what it sent",
                c.hop.bytes_in > 0 && c.hop.bytes_in <= 3 * 1200);
-  // A worker that does not keep to it is held to it.
+  // The router enforces the limit on a worker that exceeds it.
   Udp sink;
   replace_workers(testbed, {{"g-1", &sink}});
   Probe probe(testbed);
@@ -44,7 +44,7 @@
                testbed.counter("marblehub_quic_amplification_stops_total") > 0);
 }
 
-// A worker that answers after its call was given up: nobody may hear of it.
+// A worker's reply to a call that has ended is not forwarded.
 void late_replies(Report& report) {
   report.suite("late");
   for (bool proxy : {true, false}) {
--- a/conformance/suites/connection_ids.cpp
+++ b/conformance/suites/connection_ids.cpp
@@ -1,25 +1,26 @@
-// Connection ids of all forms.
+// All forms of connection ids.
 #include "suites/suites.h"
 #include "suites/support.h"
 
 namespace marblehub::conformance {
 
+// Packets with unroutable ids from one address all go to one worker.
 static void address_affinity(Report& report) {
-  // Two sockets of ours in the workers' places, which answer whatever they get.
+  // Two sockets replace the workers and answer every datagram.
   Testbed testbed({"g-1", "g-2"}, default_options());
   Udp sinks[2];
   replace_workers(testbed, {{"g-1", &sinks[0]}, {"g-2", &sinks[1]}});
-  Probe tuple(testbed);
-  std::size_t got[2] = {0, 0};
+  Probe probe(testbed);
+  std::size_t counts[2] = {0, 0};
   for (int i = 0; i < 12; ++i) {
-    tuple.send("\x40\xe1" + std::string(60, static_cast<char>('a' + i)));
+    probe.send("\x40\xe1" + std::string(60, static_cast<char>('a' + i)));
     testbed.run(30, [&] {
       for (int s : {0, 1})
         while (auto received = sinks[s].receive()) {
           std::string_view bytes = received->bytes;
           auto header = consume_proxy_header(bytes);
           if (!header) continue;
-          got[s] += 1;
+          counts[s] += 1;
           sinks[s].send(reply_header(*header) + "\x40" + std::string(40, 'y'), received->from);
         }
       return false;
@@ -27,7 +28,7 @@
   }
   report.check("quic-load-balancers, 4.2",
                "further ones of the same address go to the same worker, whatever their octets",
-               got[0] + got[1] == 12 && (got[0] == 0 || got[1] == 0));
+               counts[0] + counts[1] == 12 && (counts[0] == 0 || counts[1] == 0));
   report.check("quic-load-balancers, 4.2", "and are no further calls",
                testbed.counter("marblehub_calls_total") == 1);
 }
@@ -36,6 +37,7 @@
   report.suite("ids");
   const char* draft = "quic-load-balancers";
   auto at = [&](const char* section) { return std::string(draft) + ", " + section; };
+  // An id configuration and the requirement that it checks.
   struct IdForm {
     IdConfig config;
     const char *section, *requirement;
@@ -53,9 +55,9 @@
     options.worker.ids = form.config;
     Testbed testbed({"g-1", "g-2"}, options);
     Client& c = testbed.client();
-    bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
+    bool ok = connects(testbed, c) && request_succeeds(testbed, c, "one");
     c.rebind();
-    report.check(at(form.section), form.requirement, good && request_succeeds(testbed, c, "two"));
+    report.check(at(form.section), form.requirement, ok && request_succeeds(testbed, c, "two"));
   }
   Testbed testbed({"g-1", "g-2"}, default_options());
   Probe probe(testbed);
@@ -77,7 +79,7 @@
   report.check(at("3.1"), "an id of the unroutable codepoint goes through the module as a call",
                testbed.counter("marblehub_calls_total") == calls + 1);
   address_affinity(report);
-  // A client that makes up an id of a worker's form has no claim to that worker.
+  // A client cannot select a worker by encoding its server id in the first Initial.
   std::string chosen = codec.encode(2, testbed.worker(0).server_id, "nonce!");
   calls = testbed.counter("marblehub_calls_total");
   probe.send(bare_initial(chosen, "source"));
--- a/conformance/suites/faults.cpp
+++ b/conformance/suites/faults.cpp
@@ -1,4 +1,4 @@
-// A network that loses, repeats and reorders.
+// Networks that lose, duplicate and reorder datagrams.
 #include "suites/suites.h"
 #include "suites/support.h"
 
@@ -6,6 +6,7 @@
 
 void faults(Report& report) {
   report.suite("faults");
+  // Network faults and their description in the requirement.
   struct FaultCase {
     const char* description;
     Faults faults;
--- a/conformance/suites/initials.cpp
+++ b/conformance/suites/initials.cpp
@@ -1,4 +1,4 @@
-// What begins a connection, and coalesced packets.
+// Initials that begin a connection, handshakes, and coalesced packets.
 #include <algorithm>
 
 #include "quic/validation.h"
@@ -91,14 +91,14 @@
   Client& duplicated = testbed.client();
   duplicated.hop.tamper = [](std::string bytes) { return std::vector<std::string>{bytes, bytes}; };
   int accepted = testbed.worker(0).accepted + testbed.worker(1).accepted;
-  bool good = connects(testbed, duplicated) && request_succeeds(testbed, duplicated, "four");
+  bool ok = connects(testbed, duplicated) && request_succeeds(testbed, duplicated, "four");
   report.check("RFC 9000, 12.3", "with every datagram sent twice there is one connection and one answer",
-               good && testbed.worker(0).accepted + testbed.worker(1).accepted == accepted + 1);
+               ok && testbed.worker(0).accepted + testbed.worker(1).accepted == accepted + 1);
 
-  // Coalesced packets: what stands behind the first with another id must not reach the worker.
+  // Coalesced packets with another destination id than the first must not reach the worker.
   Udp sink;
   std::string coalesced = bare_initial(unroutable_id(), "source", kVersion1, "", 1200);
-  std::string foreign = bare_initial(unroutable_id(), "source", kVersion1, "", 300);
+  std::string other_id_packet = bare_initial(unroutable_id(), "source", kVersion1, "", 300);
   Testbed silent({"g-1"}, [] {
     TestbedOptions o = default_options();
     o.worker.unresponsive = true;
@@ -122,11 +122,11 @@
     return max_size;
   };
   report.check("RFC 9000, 12.2", "a later coalesced packet with another id is dropped",
-               seen_with(coalesced + foreign) == coalesced.size());
+               seen_with(coalesced + other_id_packet) == coalesced.size());
   std::string same_id = unroutable_id(), first = bare_initial(same_id, "source");
-  std::string then = bare_initial(same_id, "source", kVersion1, "", 300);
+  std::string second_packet = bare_initial(same_id, "source", kVersion1, "", 300);
   report.check("RFC 9000, 12.2", "coalesced packets with the same id are passed on whole",
-               seen_with(first + then) == first.size() + then.size());
+               seen_with(first + second_packet) == first.size() + second_packet.size());
 }
 
 }  // namespace marblehub::conformance
--- a/conformance/suites/migration.cpp
+++ b/conformance/suites/migration.cpp
@@ -1,4 +1,4 @@
-// Addresses that change, keys, ECN, IPv6.
+// Address changes, key updates, ECN and IPv6.
 #include <algorithm>
 
 #include "suites/suites.h"
@@ -12,14 +12,14 @@
     std::string suffix = proxy ? " (proxy-v2)" : " (socket)";
     Testbed testbed({"g-1", "g-2"}, default_options(proxy));
     Client& c = testbed.client();
-    bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
+    bool ok = connects(testbed, c) && request_succeeds(testbed, c, "one");
     c.rebind();
     report.check("RFC 9000, 9.3", "a rebinding keeps the connection" + suffix,
-                 good && request_succeeds(testbed, c, "two"));
+                 ok && request_succeeds(testbed, c, "two"));
     testbed.run(150);
-    good = c.migrate();
+    ok = c.migrate();
     report.check("RFC 9000, 9.5", "a migration with a fresh id keeps it" + suffix,
-                 good && request_succeeds(testbed, c, "three"));
+                 ok && request_succeeds(testbed, c, "three"));
     c.request("LOCK 1");
     testbed.run(20);
     c.rebind();
@@ -50,18 +50,18 @@
   all.reserve(4);
   for (int i = 0; i < 4; ++i) all.push_back(&testbed.client(zero_id_options));
   testbed.run(2500, [&] { return testbed.all_connected(); });
-  bool good = testbed.all_connected();
+  bool ok = testbed.all_connected();
   for (Client* c : all)
-    good = good && request_succeeds(testbed, *c, "x" + std::to_string(reinterpret_cast<std::uintptr_t>(c)));
-  report.check("RFC 9000, 5.2", "several connections to one worker are kept apart", good);
+    ok = ok && request_succeeds(testbed, *c, "x" + std::to_string(reinterpret_cast<std::uintptr_t>(c)));
+  report.check("RFC 9000, 5.2", "several connections to one worker are kept apart", ok);
   TestbedOptions options6 = default_options();
   options6.family = AF_INET6;
   Testbed testbed6({"g-1"}, options6);
   Client& c6 = testbed6.client();
-  good = connects(testbed6, c6) && request_succeeds(testbed6, c6, "one");
+  ok = connects(testbed6, c6) && request_succeeds(testbed6, c6, "one");
   c6.rebind();
   report.check("IPv6", "handshake, request and rebinding over IPv6",
-               good && request_succeeds(testbed6, c6, "two"));
+               ok && request_succeeds(testbed6, c6, "two"));
 }
 
 }  // namespace marblehub::conformance
--- a/conformance/suites/reload.cpp
+++ b/conformance/suites/reload.cpp
@@ -1,4 +1,4 @@
-// Configurations that change while serving.
+// Reloads of id configurations and settings in operation.
 #include "suites/suites.h"
 #include "suites/support.h"
 
@@ -8,15 +8,15 @@
   report.suite("reload");
   Testbed testbed({"g-1"}, default_options());
   Client& c = testbed.client();
-  bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
+  bool ok = connects(testbed, c) && request_succeeds(testbed, c, "one");
   const IdConfig& old = testbed.options.worker.ids;
-  json old_id = {{"rotation", old.rotation}, {"server_id_length", 4}, {"nonce_length", 6}, {"key", ""}};
-  json generate_id = {
+  json old_config = {{"rotation", old.rotation}, {"server_id_length", 4}, {"nonce_length", 6}, {"key", ""}};
+  json new_config = {
       {"rotation", 3}, {"server_id_length", 5}, {"nonce_length", 9}, {"key", std::string(32, 'a')}};
-  testbed.write_quic({{"ids", json::array({old_id, generate_id})}});
+  testbed.write_quic({{"ids", json::array({old_config, new_config})}});
   testbed.reload();
   report.check("quic-load-balancers, 3.1", "a new rotation is learnt beside the old one",
-               good && request_succeeds(testbed, c, "two") &&
+               ok && request_succeeds(testbed, c, "two") &&
                    testbed.counter("marblehub_reloads_total{result=\"taken\"}") == 1);
   IdCodec codec({{3, 5, 9, std::string(16, '\xaa')}});
   Probe probe(testbed);
@@ -25,19 +25,19 @@
   testbed.run(150);
   report.check("quic-load-balancers, 3.1", "and ids of it are routed before any worker uses it",
                testbed.worker(0).datagrams == before + 1);
-  testbed.write_quic({{"ids", json::array({generate_id})}, {"retire_ms", 1500}});
+  testbed.write_quic({{"ids", json::array({new_config})}, {"retire_ms", 1500}});
   testbed.reload();
   report.check("quic-load-balancers, 3.1", "an old rotation that is taken out goes on for its stated time",
                request_succeeds(testbed, c, "three"));
   report.check("alerts", "which the metrics tell", testbed.counter("marblehub_quic_configs_retiring") == 1);
   testbed.write_quic(
-      {{"ids", json::array({generate_id,
+      {{"ids", json::array({new_config,
                             {{"rotation", 2}, {"server_id_length", 4}, {"nonce_length", 7}, {"key", ""}}})}});
   testbed.reload();
   report.check("quic-load-balancers, 3.1", "its rotation is not given out anew in that time",
                testbed.counter("marblehub_reloads_total{result=\"refused\"}") == 1);
   testbed.write_quic(
-      {{"ids", json::array({generate_id, {{"rotation", 9}, {"server_id_length", 4}, {"nonce_length", 6}}})}});
+      {{"ids", json::array({new_config, {{"rotation", 9}, {"server_id_length", 4}, {"nonce_length", 6}}})}});
   testbed.reload();
   report.check("operators", "a file with a wrong key is refused whole",
                testbed.counter("marblehub_reloads_total{result=\"refused\"}") == 2);
--- a/conformance/suites/retry.cpp
+++ b/conformance/suites/retry.cpp
@@ -13,10 +13,10 @@
     options.quic = {{"retry", {{"mode", "always"}, {"token_ms", 1000}}}};
     Testbed testbed({"g-1"}, options);
     Client& c = testbed.client();
-    bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
+    bool ok = connects(testbed, c) && request_succeeds(testbed, c, "one");
     std::string suffix = proxy ? " (proxy-v2)" : " (socket)";
     report.check("RFC 9000, 8.1.2", "a client that is asked for a Retry is served" + suffix,
-                 good && c.retried());
+                 ok && c.retried());
     report.check("RFC 9000, 7.3", "its worker has learnt the original and the retry id" + suffix,
                  testbed.worker(0).last_retry &&
                      testbed.worker(0).last_retry->first != testbed.worker(0).last_retry->second);
@@ -74,18 +74,18 @@
         "RFC 9369, 3.3.3", "a Retry of version 2 has that version's type and tag",
         retry_v2 && parse(*retry_v2)->type == PacketType::retry && parse(*retry_v2)->version == kVersion2);
   }
-  // A Retry of the worker's own.
+  // A Retry that the worker sends.
   TestbedOptions options = default_options();
   options.worker.retry = true;
   Testbed testbed({"g-1"}, options);
   Client& c = testbed.client();
-  bool good = connects(testbed, c) && request_succeeds(testbed, c, "one");
+  bool ok = connects(testbed, c) && request_succeeds(testbed, c, "one");
   report.check("RFC 9000, 17.2.5", "a worker's own Retry is passed on, and its client is served",
-               good && c.retried());
+               ok && c.retried());
   report.check("PROTOCOL, attempts", "on the same call", testbed.counter("marblehub_calls_total") == 1);
   report.check("PROTOCOL, attempts", "at the worker that asked",
                testbed.counter("marblehub_attempts_total") == 1);
-  // From a rate on.
+  // Retry above a rate of Initials.
   options = default_options();
   options.quic = {{"retry", {{"mode", "from_rate"}, {"from_rate", 50}}}};
   options.worker.unresponsive = true;
--- a/conformance/suites/routers.cpp
+++ b/conformance/suites/routers.cpp
@@ -1,4 +1,4 @@
-// Routers that start anew, or multiply.
+// Restarts of the router, and several routers.
 #include "suites/suites.h"
 #include "suites/support.h"
 
@@ -11,13 +11,13 @@
     Testbed testbed({"g-1", "g-2"}, default_options(proxy));
     for (int i = 0; i < 10; ++i) testbed.client();
     testbed.run(3000, [&] { return testbed.all_connected(); });
-    testbed.run(300);  // no end may change its address before the handshake is confirmed (RFC 9000, 9)
+    testbed.run(300);  // clients must not change address before the handshake is confirmed (RFC 9000, 9)
     testbed.restart_router();
-    bool good = testbed.all_connected();
+    bool ok = testbed.all_connected();
     for (auto& c : testbed.clients) c->request("after");
     testbed.run(3000, [&] { return testbed.all_answered(); });
     report.check("quic-load-balancers, 4", "a router that starts anew routes every connection" + suffix,
-                 good && testbed.all_answered());
+                 ok && testbed.all_answered());
     for (int i = 0; i < 3; ++i) {
       for (auto& c : testbed.clients) c->request("more " + std::to_string(i));
       testbed.run(300);
@@ -26,7 +26,7 @@
     report.check("DESIGN, mapping", "and the module counts them again" + suffix,
                  testbed.counter("marblehub_connections") == static_cast<double>(testbed.clients.size()));
   }
-  // Two routers with the same files: every client's new address leads to the other one.
+  // Two routers with the same settings: after an address change each client reaches the other one.
   Testbed testbed({"g-1", "g-2"}, default_options());
   for (int i = 0; i < 10; ++i) testbed.client();
   testbed.run(3000, [&] { return testbed.all_connected(); });
@@ -37,8 +37,8 @@
     c->rebind();
     c->use_router(other);
   }
-  bool good = testbed.run(3000, [&] { return testbed.all_answered(); });
-  report.check("brief", "a client whose new address leads to another router keeps its connection", good);
+  bool ok = testbed.run(3000, [&] { return testbed.all_answered(); });
+  report.check("brief", "a client whose new address leads to another router keeps its connection", ok);
   for (int i = 0; i < 3; ++i) {
     for (auto& c : testbed.clients) c->request("at the second " + std::to_string(i));
     testbed.run(150);
--- a/conformance/suites/suites.h
+++ b/conformance/suites/suites.h
@@ -1,5 +1,5 @@
-/// The suites. Each puts its requirements to a router that runs, with peers of its own; what a section asks
-/// of ends that terminate a connection is the peers' part and not checked here.
+/// The suites. Each checks its requirements against a running balancer with peers of its own. Requirements on
+/// endpoints that terminate a connection concern the peers and are not checked.
 #pragma once
 
 #include "report.h"
--- a/conformance/suites/versions.cpp
+++ b/conformance/suites/versions.cpp
@@ -1,4 +1,4 @@
-// Versions 1, 2 and others.
+// QUIC versions 1 and 2, and version negotiation.
 #include <algorithm>
 #include <set>
 
--- a/conformance/suites/workers.cpp
+++ b/conformance/suites/workers.cpp
@@ -1,4 +1,4 @@
-// Workers that drain, refuse, die and come back.
+// Workers that drain, refuse connections, crash and restart.
 
 #include "quic/stateless_reset.h"
 #include "suites/suites.h"
@@ -20,11 +20,11 @@
     testbed.run(250);
     int before = leaving.initials;
     for (int i = 0; i < 8; ++i) testbed.client();
-    // Old ones may be asked to move at once; what they ask before that is still served.
+    // Existing clients may be moved at once; requests sent before that are still answered.
     testbed.run(2500, [&] { return testbed.all_connected(); });
     report.check("PROTOCOL, drains", "nothing new goes to a draining worker after 250 ms" + suffix,
                  leaving.initials == before);
-    for (auto& c : testbed.clients) c->rebind();  // a move may be under way for some
+    for (auto& c : testbed.clients) c->rebind();  // some may already be moving
     report.check("PROTOCOL, moves", "its clients are asked to move, whatever their address by then" + suffix,
                  testbed.run(4000, [&] {
                    return leaving.moves.size() >= static_cast<std::size_t>(leaving.accepted);
--- a/conformance/suites/zero_rtt.cpp
+++ b/conformance/suites/zero_rtt.cpp
@@ -1,4 +1,4 @@
-// Early data in every order.
+// 0-RTT before, after and coalesced with its Initial.
 #include <algorithm>
 
 #include "suites/suites.h"
@@ -10,10 +10,10 @@
   report.suite("0-rtt");
   Testbed testbed({"g-1"}, default_options());
   Client& first = testbed.client();
-  bool good = connects(testbed, first) && request_succeeds(testbed, first, "first") &&
-              testbed.run(1000, [&] { return first.resumption().has_value(); });
-  report.check("RFC 9001, 4.6.1", "a session ticket passes", good);
-  if (!good) return;
+  bool ok = connects(testbed, first) && request_succeeds(testbed, first, "first") &&
+            testbed.run(1000, [&] { return first.resumption().has_value(); });
+  report.check("RFC 9001, 4.6.1", "a session ticket passes", ok);
+  if (!ok) return;
   Resumption ticket = *first.resumption();
   ClientOptions options;
   options.resume = &ticket;
@@ -35,39 +35,39 @@
     bool served = testbed.run(2500, [&] { return c.all_answered_once() && c.handshaken(); });
     report.check(section, words, served && testbed.worker(0).executed[text] == 1);
   };
-  // The flight of this stack is one datagram with an Initial and 0-RTT in it: the two are taken apart.
+  // ngtcp2 sends one datagram with an Initial and 0-RTT; this splits them into separate datagrams.
   auto split_flight = [](const std::vector<std::string>& flight) {
-    std::string initial, early;
+    std::string initial, early_data;
     for (const std::string& datagram : flight) {
       std::string_view rest = datagram;
       while (!rest.empty()) {
         auto header = parse(rest);
         if (!header || header->type == PacketType::short_header) break;
-        (header->type == PacketType::initial ? initial : early) += header->packet;
+        (header->type == PacketType::initial ? initial : early_data) += header->packet;
         rest.remove_prefix(header->packet.size());
       }
     }
     initial.resize(std::max<std::size_t>(initial.size(), 1200), '\0');
-    return std::pair(initial, early);
+    return std::pair(initial, early_data);
   };
   run_case("RFC 9000, 17.2.3", "0-RTT coalesced with its Initial is served once",
            [](std::vector<std::string> flight) { return flight; });
   run_case("RFC 9000, 17.2.3", "0-RTT after its Initial is served once",
            [&](std::vector<std::string> flight) {
-             auto [initial, early] = split_flight(flight);
-             return std::vector<std::string>{initial, early};
+             auto [initial, early_data] = split_flight(flight);
+             return std::vector<std::string>{initial, early_data};
            });
   run_case("RFC 9000, 5.2.2", "0-RTT before its Initial is kept for it and served once",
            [&](std::vector<std::string> flight) {
-             auto [initial, early] = split_flight(flight);
-             return std::vector<std::string>{early, initial};
+             auto [initial, early_data] = split_flight(flight);
+             return std::vector<std::string>{early_data, initial};
            });
   double calls = testbed.counter("marblehub_calls_total");
   Probe probe(testbed);
-  std::string early = bare_initial(unroutable_id(), "source");
-  early[0] = static_cast<char>((early[0] & 0xcf) | 0x10);
-  early.erase(5 + 1 + 10 + 1 + 6, 1);  // 0-RTT has no token
-  probe.send(early);
+  std::string early_data = bare_initial(unroutable_id(), "source");
+  early_data[0] = static_cast<char>((early_data[0] & 0xcf) | 0x10);
+  early_data.erase(5 + 1 + 10 + 1 + 6, 1);  // 0-RTT has no token
+  probe.send(early_data);
   report.check("RFC 9000, 5.2.2", "0-RTT without an Initial is no call and gets no answer",
                !probe.answer(700) && testbed.counter("marblehub_calls_total") == calls);
 }
