--- a/bench/quic_forward.cpp
+++ b/bench/quic_forward.cpp
@@ -1,5 +1,5 @@
-// Datagrams a second and processor time a datagram through the router, in both forwarding ways, beside a bare
-// forwarder (recvmmsg, then sendmmsg, no look at the contents) in the same run. Everything is on loopback.
+// Measures the datagrams per second and the CPU time per datagram of the router in both forwarding modes, and
+// of a bare forwarder (recvmmsg, then sendmmsg, without parsing) for comparison. All sockets are on loopback.
 //   build-test/quic_forward_bench [SECONDS] [FLOWS...]
 #include <fmt/format.h>
 #include <pthread.h>
@@ -23,6 +23,7 @@
 
 constexpr std::size_t kSize = 1200, kBatch = 64;
 
+// A loopback socket with large buffers.
 int socket_on_loopback() {
   int fd = test::bound(SOCK_DGRAM);
   int large = 8 << 20;
@@ -31,8 +32,7 @@
   return fd;
 }
 
-// Sends flow after flow in bursts, as fast as it can; a share of the system's buffers is lost, as in a
-// network.
+// Sends bursts of each flow in turn, as fast as possible; datagrams that overflow socket buffers are lost.
 void send_load(const std::vector<int>& sockets, const std::vector<std::string>& packets, sockaddr_in to,
                const std::atomic<bool>& stop) {
   std::vector<mmsghdr> messages(kBatch);
@@ -51,7 +51,7 @@
   }
 }
 
-// What comes on a socket, a batch at a time, until it is told to stop.
+// Receives batches from a socket and passes them to `each`, until `stop` is set.
 template <class Each>
 void receive_all(int fd, const std::atomic<bool>& stop, Each each) {
   std::vector<char> buffers(kBatch * 2048);
@@ -71,10 +71,12 @@
   }
 }
 
+// Counts the datagrams that arrive.
 void count_received(int fd, std::atomic<std::size_t>& count, const std::atomic<bool>& stop) {
   receive_all(fd, stop, [&](auto&, auto&, std::size_t n) { count += n; });
 }
 
+// The CPU time of a thread in microseconds.
 std::int64_t cpu_of(pthread_t thread) {
   clockid_t clock;
   timespec t{};
@@ -82,6 +84,7 @@
   return t.tv_sec * std::int64_t{1000000} + t.tv_nsec / 1000;
 }
 
+// Forwards each datagram from `in` to the peer of `out`, without parsing it.
 void forward_bare(int in, int out, const std::atomic<bool>& stop) {
   receive_all(in, stop, [out](std::vector<mmsghdr>& messages, std::vector<iovec>& parts, std::size_t n) {
     for (std::size_t i = 0; i < n; ++i) parts[i].iov_len = messages[i].msg_len;
@@ -89,10 +92,12 @@
   });
 }
 
+// The delivered datagrams per second and the CPU time per datagram.
 struct Measurement {
   double per_second = 0, cpu_us = 0;
 };
 
+// Measures for `seconds`, after a warm-up of half a second.
 Measurement measure(double seconds, std::atomic<std::size_t>& count,
                     const std::function<std::int64_t()>& cpu) {
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
@@ -129,7 +134,7 @@
                         std::string(kSize - 12, 'x'));
     double bare_rate = 0;
     for (std::string mode : {"bare", "proxy-v2", "socket"}) {
-      if (mode == "socket" && flows > 900) continue;  // one descriptor a flow: its limit is the platform's
+      if (mode == "socket" && flows > 900) continue;  // one descriptor per flow; the router's limit is 1024
       std::atomic<bool> stop = false;
       std::atomic<std::size_t> count = 0;
       int sink_fd = socket_on_loopback(), bare_in = -1, bare_out = -1;
--- a/bench/quic_memory.cpp
+++ b/bench/quic_memory.cpp
@@ -1,5 +1,5 @@
-// Memory and descriptors of a router that holds many connections of as many client addresses, forwarding
-// proxy-v2.
+// Measures the memory and descriptors of a router with many connections, each from its own client address,
+// with forwarding proxy-v2.
 //   build-test/quic_memory_bench [CONNECTIONS]
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -59,7 +59,7 @@
   }
   long full_kb = router.resident_kb();
   fmt::print(
-      "{} connections up of {} client addresses; {} descriptors; resident {} kB, {} kB before; {} octets a "
+      "{} connections up of {} client addresses; {} descriptors; resident {} kB, {} kB before; {} bytes per "
       "connection\n",
       established, target, router.descriptors(), full_kb, empty_kb,
       (full_kb - empty_kb) * 1024 / static_cast<long>(std::max<std::size_t>(established, 1)));
--- a/bench/router.h
+++ b/bench/router.h
@@ -1,4 +1,4 @@
-// The router as the benchmarks start it: one worker, ids under four passes, nothing probed.
+// Starts the router for the QUIC benchmarks: one worker, four-pass encrypted ids, no probes.
 #pragma once
 
 #include <memory>
@@ -10,16 +10,20 @@
 
 namespace marblehub::bench {
 
+/// The id configuration of the router and its worker.
 inline const quic::IdConfig& ids() {
   static const quic::IdConfig config{2, 4, 6, std::string(16, 'k')};
   return config;
 }
 
+/// A router process and its UDP port.
 struct Router {
   std::unique_ptr<test::Program> program;
   int port;
 };
 
+/// Starts a router for the worker `g-1` at this address. `forwarding` as in quic.json; `files` limits
+/// descriptors.
 inline Router start_router(const std::string& worker_address, const std::string& forwarding, rlim_t files) {
   using test::json;
   json endpoints = json::array({{{"name", "g-1"},
