--- a/tests/quic_peers_test.cpp
+++ b/tests/quic_peers_test.cpp
@@ -1,4 +1,4 @@
-// Both forwarding ways with real QUIC peers.
+// The QUIC front in both forwarding modes, with ngtcp2 clients and workers.
 #include <catch2/catch.hpp>
 
 #include "quic/stateless_reset.h"
@@ -9,6 +9,7 @@
 
 using namespace peers;
 
+// Options with stateless resets, for forwarding proxy-v2 or socket.
 TestbedOptions forwarding_options(bool proxy) {
   TestbedOptions options;
   options.proxy = proxy;
@@ -29,17 +30,17 @@
   c.rebind();
   c.request("REQ 2");
   CHECK(testbed.run(1500, [&] { return c.all_answered_once(); }));
-  testbed.run(200);  // this library gives up a connection whose ids change twice at once
+  testbed.run(200);  // ngtcp2 closes a connection whose ids change twice in short succession
   CHECK(c.migrate());
   c.request("REQ 3");
   CHECK(testbed.run(1500, [&] { return c.all_answered_once(); }));
-  testbed.run(200);  // the path is validated before the keys change
+  testbed.run(200);  // path validation completes before the key update
   CHECK(c.update_key());
   c.request("REQ 4");
   CHECK(testbed.run(1500, [&] { return c.all_answered_once(); }));
   CHECK_FALSE(c.closed());
   CHECK(testbed.counter("marblehub_quic_unknown_ids_total") == 0);
-  // The gauges are set five times a second, and later on a loaded machine.
+  // The gauges are updated every 200 ms, or less often under load.
   CHECK(testbed.run(3000, [&] { return testbed.counter("marblehub_connections") == 1; }));
   CHECK(testbed.counter("marblehub_quic_sockets") <= (proxy ? 1 : 3));
 }
@@ -77,7 +78,7 @@
     for (auto& c : testbed.clients) c->rebind();
   };
 
-  // Addresses change with requests under way; then the router is killed and starts anew; then again.
+  // Clients change address with requests in flight: before, during and after a restart of the router.
   request_from_all("first");
   rebind_all();
   CHECK(testbed.run(4000, [&] { return testbed.all_answered(); }));
@@ -91,7 +92,7 @@
   CHECK(std::none_of(testbed.clients.begin(), testbed.clients.end(),
                      [](const auto& c) { return c->closed(); }));
 
-  // One worker dies: what was there is reset within a second, nothing else is.
+  // One worker crashes: its connections, and no others, are reset within a second.
   killed.kill();
   std::int64_t killed_at = now_us();
   request_from_all("after the death");
@@ -104,7 +105,7 @@
   for (auto& c : testbed.clients)
     if (std::find(clients_of_killed.begin(), clients_of_killed.end(), c.get()) == clients_of_killed.end())
       CHECK_FALSE(c->closed());
-  // They come again, elsewhere.
+  // New clients connect to other workers.
   std::vector<Client*> reconnected;
   for (std::size_t i = 0; i < clients_of_killed.size(); ++i) reconnected.push_back(&testbed.client());
   for (Client* c : reconnected) c->request("again");
@@ -113,7 +114,7 @@
                        [](Client* c) { return c->all_answered_once(); });
   }));
 
-  // One drains: 250 ms after that it gets nothing new, and its clients are moved.
+  // One worker drains: after 250 ms it gets no new connections, and its clients are moved.
   testbed.run(5000, [&] { return testbed.registry.has_watch(); });
   int accepted_before = draining.accepted;
   CHECK(accepted_before > 0);
@@ -129,7 +130,7 @@
   }));
   CHECK(draining.initials == initials_after_250ms);
   CHECK(testbed.run(5000, [&] { return draining.connections() == 0; }));
-  // Whoever was not told to move or reset still has exactly one answer to everything.
+  // Every client whose connection was not moved or reset has exactly one answer to each request.
   testbed.run(500);
   for (auto& c : testbed.clients) {
     for (auto& [text, times] : c->answers()) CHECK(times == 1);
@@ -153,7 +154,7 @@
   std::size_t sent = 0, bytes_in = 0, bytes_out = 0;
   auto flood = [&](int count) {
     for (int i = 0; i < count; ++i, ++sent) {
-      // What an attacker sends is no sealed Initial: the router does not open it.
+      // The spoofed Initials are not encrypted, since the router does not decrypt them.
       std::string id = "\xe0" + std::to_string(100000000 + sent), source = "spoof";
       std::string packet = std::string("\xc0\0\0\0\1", 5) + static_cast<char>(id.size()) + id +
                            static_cast<char>(source.size()) + source + std::string(1, '\0');
