--- a/src/quic/datagrams.cpp
+++ b/src/quic/datagrams.cpp
@@ -191,14 +191,14 @@
         continue;
       }
       if (n < 0 && errno == EINTR) continue;
-      if (n < 0 && errno == ECONNREFUSED &&
-          !error_reported) {  // the error of an earlier datagram; this one was not sent
+      // The error belongs to an earlier datagram; this one was not sent.
+      if (n < 0 && errno == ECONNREFUSED && !error_reported) {
         result.port_closed = error_reported = true;
         continue;
       }
       if (n < 0 && datagram_counts[done] > 1 && (errno == EINVAL || errno == EIO) && segmentation_supported) {
-        segmentation_supported =
-            false;  // not supported by the kernel or device: send one by one from this message on
+        // Not supported by the kernel or device: send one by one from this message on.
+        segmentation_supported = false;
         std::size_t skipped = 0;
         for (std::size_t i = 0; i < done; ++i) skipped += datagram_counts[i];
         next = first + skipped;
--- a/src/quic/flow.h
+++ b/src/quic/flow.h
@@ -96,8 +96,7 @@
   ConnectionId first_destination, client_source;  // the ids in its Initials; the key in the table
   // State that is needed until the connection is established, or until its CONNECTION_CLOSE expires.
   struct HandshakeState {
-    std::vector<std::string>
-        flight;  // the client's first datagrams, replayed to the worker of the next attempt
+    std::vector<std::string> flight;  // the client's first datagrams, sent in each attempt
     ConnectionId
         initial_keys_id;       // the id that its Initial keys are derived from; a worker's Retry changes it
     std::string close_packet;  // sent to a client whose call has failed
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -176,8 +176,8 @@
   link_id(*flow, path.last_id);
   core::Exchange& exchange =
       dispatcher_.adopt(call(), *flow, *flow, path.worker.name, std::make_unique<AdoptedAttempt>());
-  if (flow->move_requests_left == 0 && !flow->finished)
-    flow->exchange = &exchange;  // otherwise it ended inside adopt
+  // Otherwise the call ended or was redirected inside adopt.
+  if (flow->move_requests_left == 0 && !flow->finished) flow->exchange = &exchange;
 }
 
 void Front::remove(Flow& flow) {
--- a/src/quic/worker_side.cpp
+++ b/src/quic/worker_side.cpp
@@ -85,9 +85,8 @@
 void Front::send_handshake_datagram(Flow& flow, std::string_view bytes) {
   Upstream* upstream = get_upstream(*flow.path);
   if (!upstream) return table_full_.add();
-  bool after_retry =
-      flow.original_destination &&
-      !(*flow.original_destination == flow.first_destination);  // of the router, not of a worker
+  // Whether the router has sent a Retry; a Retry of the worker leaves the ids equal.
+  bool after_retry = flow.original_destination && !(*flow.original_destination == flow.first_destination);
   std::array<char, kMaxProxyHeaderSize> header;
   std::size_t size = 0;
   if (!upstream->dedicated_path) {
