--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -99,7 +99,7 @@
 // after its connection, and nobody has come yet for whom it would have to give way. Those that give way
 // linger after their answer, as long as nothing else needs the descriptor.
 void Listener::free_descriptors(std::size_t staying) {
-  while (descriptors_.scarce() && evict_one(staying)) {
+  while (descriptors_.is_low() && evict_one(staying)) {
   }
   while (descriptors_.exhausted() && Stream::reclaim()) {
   }
@@ -305,14 +305,14 @@
 void ClientLink::deliver(std::string_view bytes) {
   if (!stream_) return;
   say(bytes);
-  if (stream_->backlog() > kBacklogBound && !full_told_ && exchange_) {
+  if (stream_->backlog() > kMaxBacklogBytes && !full_told_ && exchange_) {
     full_told_ = true;
     exchange_->client_blocked(true);
   }
 }
 
 void ClientLink::hold(bool on) {
-  if (stream_) stream_->read_on(!on);
+  if (stream_) stream_->set_reading(!on);
 }
 
 // A worker that has stopped inside a line leaves the client there: MOVE stands on a line of its own.
--- a/src/net/descriptor_budget.cpp
+++ b/src/net/descriptor_budget.cpp
@@ -43,7 +43,7 @@
   Fd::allow(limit_ - std::min(limit_, own_));
 }
 
-bool DescriptorBudget::scarce() const { return Fd::left() + Stream::lingering() <= limit_ / 8; }
+bool DescriptorBudget::is_low() const { return Fd::left() + Stream::lingering() <= limit_ / 8; }
 
 bool DescriptorBudget::make_one_available() { return Fd::left() > 0 || Stream::reclaim(); }
 
--- a/src/net/descriptor_budget.h
+++ b/src/net/descriptor_budget.h
@@ -26,7 +26,7 @@
   bool may_accept() const { return Fd::left(kAnswerReserve) > 0; }
   // The last eighth is kept for those who have asked: whoever has not asked yet gives way.
   // Connections that only linger after their end do not count: they are closed when a descriptor is needed.
-  bool scarce() const;
+  bool is_low() const;
   // Whether there is a descriptor for one more, with a spare connection closed for it if need be.
   bool make_one_available();
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -99,7 +99,7 @@
   return (asked.revents & POLLIN) && ::recv(fd_.get(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-void Stream::read_on(bool on) {
+void Stream::set_reading(bool on) {
   reading_ = on;
   if (state_ != State::open) return;
   if (broken_ && on) return io_.feed(EV_READ);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -17,7 +17,8 @@
 
 using config::parse_address;
 
-constexpr std::size_t kBacklogBound = 64 * 1024;  // kept for a side that does not read; then the other waits
+constexpr std::size_t kMaxBacklogBytes =
+    64 * 1024;  // kept for a side that does not read; then the other waits
 
 class Stream {
  public:
@@ -42,7 +43,7 @@
   void connect(const sockaddr_in& to, std::size_t reserve = 0);
   bool has_unread() const;  // bytes that have come, or the peer's end
   void write(std::string_view bytes);
-  void read_on(bool on);
+  void set_reading(bool on);
   // What was written and the system has not taken; after an ending, what it never took.
   std::size_t backlog() const { return out_.size() - sent_; }
   // Whether the peer has ended its side, also where that lies behind bytes that are not read yet. Nothing is
--- a/src/net/worker_side.cpp
+++ b/src/net/worker_side.cpp
@@ -89,13 +89,13 @@
     if (!stream_) return;
     side_.bytes_out_.add(static_cast<double>(bytes.size()));
     stream_->write(bytes);
-    if (stream_->backlog() > kBacklogBound && !full_told_ && exchange_) {
+    if (stream_->backlog() > kMaxBacklogBytes && !full_told_ && exchange_) {
       full_told_ = true;
       exchange_->worker_blocked(true);
     }
   }
   void hold(bool on) {
-    if (stream_) stream_->read_on(!on);
+    if (stream_) stream_->set_reading(!on);
   }
   bool asked() const { return asked_ && stream_ && stream_->backlog() == 0; }
   void finish(CloseKind ending) { Stream::end(std::move(stream_), up_ ? ending : CloseKind::aborted); }
--- a/src/quic/tables.cpp
+++ b/src/quic/tables.cpp
@@ -48,7 +48,7 @@
 Path* Front::make_path(const Endpoint& client, WorkerTable::Worker& worker) {
   bool needs_descriptor = settings_.forwarding == Forwarding::socket;
   bool full = all_paths_.size() >= settings_.max_paths;
-  if (full || (needs_descriptor && descriptors_.scarce())) {  // evict the least recently used path
+  if (full || (needs_descriptor && descriptors_.is_low())) {  // evict the least recently used path
     bool can_evict = oldest_ != nullptr;
     if (can_evict) drop_path(*oldest_);
     if (!can_evict && (full || (needs_descriptor && !descriptors_.make_one_available()))) {
--- a/tests/crossings/streams_test.cpp
+++ b/tests/crossings/streams_test.cpp
@@ -26,7 +26,7 @@
 struct Heard final : Stream::Handler {
   void received(std::string_view bytes) override {
     text += bytes;
-    if (holds_after_first) stream->read_on(false);
+    if (holds_after_first) stream->set_reading(false);
   }
   void drained() override { drained_times += 1; }
   void ended(CloseKind how) override {
@@ -126,7 +126,7 @@
   REQUIRE(pair.heard.ended_times == 0);
   REQUIRE(pair.heard.text.size() < 40'000);
   pair.heard.holds_after_first = false;
-  pair.stream->read_on(true);
+  pair.stream->set_reading(true);
   pair.turns();
   REQUIRE(pair.heard.text.size() == 40'000);
   REQUIRE(pair.heard.ended_times == 1);
@@ -136,7 +136,7 @@
   Pair pair;
   const std::string line(kLine, 'x');
   std::size_t written = 0;
-  while (pair.stream->backlog() <= net::kBacklogBound) {
+  while (pair.stream->backlog() <= net::kMaxBacklogBytes) {
     REQUIRE(written < kFlood);
     pair.stream->write(line);
     written += kLine;
@@ -160,7 +160,7 @@
   Pair pair;
   const std::string line(kLine, 'x');
   std::size_t written = 0;
-  while (pair.stream->backlog() <= net::kBacklogBound) {
+  while (pair.stream->backlog() <= net::kMaxBacklogBytes) {
     pair.stream->write(line);
     written += kLine;
   }
