--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -183,7 +183,7 @@
 void ClientLink::first_lines() {
   for (;;) {
     std::size_t end = in_.find('\n');
-    if (std::min(end, in_.size()) >= kLongestLine) return malformed();
+    if (std::min(end, in_.size()) >= kMaxLineBytes) return malformed();
     std::optional<std::string> line = take_line(in_);
     if (!line) return;
     if (*line != "PING") return ask(std::move(*line));
@@ -201,7 +201,7 @@
 
 void ClientLink::ask(std::string line) {
   core::Dispatcher& dispatcher = listener_.dispatcher_;
-  std::optional<Opening> opening = opening_in(line);
+  std::optional<Opening> opening = parse_opening(line);
   int request_class = opening ? dispatcher.class_index(opening->request_class) : -1;
   if (request_class < 0 || !in_.empty()) return malformed();
   if (!opening->worker.empty() && !dispatcher.workers().count(std::string(opening->worker)))
@@ -222,7 +222,7 @@
   call.expires_in = std::min(opening->wait_ms, kLongestWait) * 1000;
   call.load_hint = opening->load_hint;
   call.returned = opening->again;
-  call.group = opening->group.empty() ? 0 : number_for(opening->group);
+  call.group = opening->group.empty() ? 0 : nonzero_name_hash(opening->group);
   call.handover_worker = opening->worker;
   call.tenant = field(line, "t").value_or("");
   call.area = opening->group;
@@ -264,7 +264,7 @@
 void ClientLink::forward(std::string_view bytes) {
   core::StreamChunk chunk{bytes, 0, true};
   for (std::string_view rest = bytes; !rest.empty();) {
-    LineWatch::Part part = lines_.next(rest);
+    LineTracker::Part part = lines_.next(rest);
     chunk.messages += part.ended;
     rest.remove_prefix(part.length);
   }
--- a/src/net/client_side.h
+++ b/src/net/client_side.h
@@ -118,7 +118,7 @@
   bool asked_ = false, standing_ = false, full_told_ = false;
   char last_said_ = '\n';  // the last byte passed on to the client
   std::string in_;         // what has come and is not passed on yet
-  LineWatch lines_;
+  LineTracker lines_;
   TimerWatch request_timeout_;  // runs until the client has asked, from when it connected
   int pings_ = 0;
   std::string id_;  // once it has asked
--- a/src/net/lines.cpp
+++ b/src/net/lines.cpp
@@ -35,12 +35,12 @@
   return line;
 }
 
-std::string_view without_end(std::string_view line) {
+std::string_view without_line_end(std::string_view line) {
   return line.substr(0, line.find_last_not_of("\r\n") + 1);
 }
 
 std::string_view verb_of(std::string_view line) {
-  line = without_end(line);
+  line = without_line_end(line);
   return line.substr(0, line.find(' '));
 }
 
@@ -56,7 +56,7 @@
   return out;
 }
 
-std::optional<Opening> opening_in(std::string_view line) {
+std::optional<Opening> parse_opening(std::string_view line) {
   auto cut = [](std::string_view& rest, char at) {
     std::size_t end = std::min(rest.find(at), rest.size());
     std::string_view part = rest.substr(0, end);
@@ -101,9 +101,9 @@
   return whole ? std::optional(opening) : std::nullopt;
 }
 
-std::uint64_t number_for(std::string_view name) { return marblehub::policy::name_hash(name) | 1; }
+std::uint64_t nonzero_name_hash(std::string_view name) { return marblehub::policy::name_hash(name) | 1; }
 
-core::LoadReport report_in(std::string_view line) {
+core::LoadReport parse_load_report(std::string_view line) {
   core::LoadReport report;
   auto figure = [&](std::string_view name) -> double {
     auto text = field(line, name);
@@ -116,7 +116,7 @@
   return report;
 }
 
-LineWatch::Part LineWatch::next(std::string_view bytes) {
+LineTracker::Part LineTracker::next(std::string_view bytes) {
   std::size_t end = bytes.find('\n');
   bool ended = end != std::string_view::npos;
   std::size_t length = ended ? end + 1 : bytes.size();
--- a/src/net/lines.h
+++ b/src/net/lines.h
@@ -10,12 +10,12 @@
 
 namespace marblehub::net {
 
-constexpr std::size_t kLongestLine = 4096;  // with its CRLF
+constexpr std::size_t kMaxLineBytes = 4096;  // with its CRLF
 
 // Takes the next whole line out of a buffer, without its end; none if no line is whole yet.
 std::optional<std::string> take_line(std::string& buffer);
 
-std::string_view without_end(std::string_view line);  // without CRLF or LF
+std::string_view without_line_end(std::string_view line);  // without CRLF or LF
 std::string_view verb_of(std::string_view line);
 
 // The value of `name` in "VERB id key a=1,b=2" or "PONG a=1,b=2"; none if it is not there.
@@ -36,16 +36,16 @@
 
 // None where the line is not as workers accept it, whatever it may have been meant to say: such a line must
 // never reach one.
-std::optional<Opening> opening_in(std::string_view line);
+std::optional<Opening> parse_opening(std::string_view line);
 
 // A number that stands for a name: the same at every balancer, and never 0.
-std::uint64_t number_for(std::string_view name);
+std::uint64_t nonzero_name_hash(std::string_view name);
 
 // The load at the end of an answer, in the registry's field names.
-core::LoadReport report_in(std::string_view line);
+core::LoadReport parse_load_report(std::string_view line);
 
 // Follows the lines of a stream that passes through, however it is cut into pieces.
-class LineWatch {
+class LineTracker {
  public:
   // What up to and including the next line end (or all of `bytes`) is: its length, and whether a line ended.
   struct Part {
--- a/src/net/worker_side.cpp
+++ b/src/net/worker_side.cpp
@@ -54,7 +54,7 @@
     if (!up_) {
       in_.append(bytes);
       std::size_t end = in_.find('\n');
-      if (std::min(end, in_.size()) >= kLongestLine) return over(Outcome::error, CloseKind::aborted);
+      if (std::min(end, in_.size()) >= kMaxLineBytes) return over(Outcome::error, CloseKind::aborted);
       if (end == std::string::npos) return;
       std::string line = in_.substr(0, end + 1), rest = in_.substr(end + 1);
       in_.clear();
@@ -110,7 +110,7 @@
   // A first line that is not UP: the outcome, as the protocol's table has it.
   void answer(std::string line) {
     std::string_view verb = verb_of(line);
-    core::LoadReport report = report_in(without_end(line));
+    core::LoadReport report = parse_load_report(without_line_end(line));
     Outcome outcome = Outcome::error;
     if (verb == "BUSY") outcome = Outcome::full;
     if (verb == "BYE") outcome = Outcome::served;
@@ -120,7 +120,7 @@
 
   void pass(std::string_view bytes) {
     while (!bytes.empty() && exchange_) {
-      LineWatch::Part part = lines_.next(bytes);
+      LineTracker::Part part = lines_.next(bytes);
       core::StreamChunk chunk{bytes.substr(0, part.length), 0, lines_.between()};
       bytes.remove_prefix(part.length);
       if (part.ended) {
@@ -138,7 +138,7 @@
   }
 
   void load_told(std::string_view line) {
-    line = without_end(line);
+    line = without_line_end(line);
     if (line.size() <= 5) return;
     if (auto load = config::parse_number<double>(line.substr(5))) exchange_->worker_load(*load);
   }
@@ -157,7 +157,7 @@
   std::unique_ptr<Stream> stream_;
   TimerWatch connect_timer_;
   std::string in_;
-  LineWatch lines_;
+  LineTracker lines_;
   Outcome closing_ = Outcome::reset;  // what an end means now
   bool asked_ = false, up_ = false, full_told_ = false;
 };
@@ -224,12 +224,12 @@
   }
   void received(std::string_view bytes) override {
     in_.append(bytes);
-    if (in_.size() > kLongestLine) return end(Outcome::error, {});
+    if (in_.size() > kMaxLineBytes) return end(Outcome::error, {});
     std::optional<std::string> line = take_line(in_);
     if (!line || !waiting_) return;
     bool pong = verb_of(*line) == "PONG";
     if (!pong) drop();
-    end(pong ? Outcome::served : Outcome::error, report_in(*line));
+    end(pong ? Outcome::served : Outcome::error, parse_load_report(*line));
   }
   void ended(CloseKind) override {
     bool unsent = stream_->unsent();
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -179,11 +179,11 @@
 }
 
 TEST_CASE("the group of an opening line maps to the same number at every balancer") {
-  auto opening = net::opening_in("OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f6e1a2b3d4c59");
+  auto opening = net::parse_opening("OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f6e1a2b3d4c59");
   REQUIRE(opening);
   CHECK(opening->group == "5c0f6e1a2b3d4c59");
-  CHECK(net::number_for(opening->group) == net::number_for("5c0f6e1a2b3d4c59"));
-  CHECK(net::number_for("5c0f6e1a2b3d4c59") != net::number_for("5c0f6e1a2b3d4c58"));
+  CHECK(net::nonzero_name_hash(opening->group) == net::nonzero_name_hash("5c0f6e1a2b3d4c59"));
+  CHECK(net::nonzero_name_hash("5c0f6e1a2b3d4c59") != net::nonzero_name_hash("5c0f6e1a2b3d4c58"));
 }
 
 }  // namespace marblehub::test
