--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -51,20 +51,20 @@
       : rng_(seed), groups_(groups) {
     std::vector<BackendEntry> listed;
     for (int i = 0; i < workers; ++i) {
-      Worker w{Bench::entry("w" + std::to_string(i), Health::serving), true, {}};
+      Worker w{PolicyFixture::entry("w" + std::to_string(i), Health::serving), true, {}};
       w.entry.scale = i % 3 == 0 ? 4.5 : 1.5;
       if (starts_cold(i)) w.entry.start_time = 3 * kSecond;
       total_scale_ += w.entry.scale;
       workers_.push_back(w);
       listed.push_back(w.entry);
     }
-    Settings s = Bench::settings();
+    Settings s = PolicyFixture::settings();
     s.groups = true;
     s.price_probe = 0.0018;
     s.balancers = balancers;
     for (s.balancer_index = 0; s.balancer_index < balancers; ++s.balancer_index) {
       balancers_.push_back(
-          std::make_unique<Bench>(s, seed * 1000 + static_cast<std::uint64_t>(s.balancer_index)));
+          std::make_unique<PolicyFixture>(s, seed * 1000 + static_cast<std::uint64_t>(s.balancer_index)));
       balancers_.back()->list(EndpointListKind::full, listed);
     }
   }
@@ -115,7 +115,7 @@
   void start_call() {
     Client c;
     c.balancer = random_index(static_cast<int>(balancers_.size()));
-    Bench& b = *balancers_[c.balancer];
+    PolicyFixture& b = *balancers_[c.balancer];
     c.id = b.next_id++;
     c.group = 1 + static_cast<std::uint64_t>(random_index(groups_));
     totals_.calls += 1;
@@ -125,14 +125,14 @@
   }
 
   void end_call(Client& c, Outcome outcome) {
-    Bench& b = *balancers_[c.balancer];
+    PolicyFixture& b = *balancers_[c.balancer];
     b.now = now_;
     b.handle(ResultEvent{c.id, c.attempts - 1, true, workers_[c.worker].entry.address, 1000, outcome, {}});
     c.id = 0;
   }
 
   void run_balancer(int number) {
-    Bench& b = *balancers_[number];
+    PolicyFixture& b = *balancers_[number];
     b.run(now_ + kStep - b.now);
     b.now = now_ + kStep;
     for (auto& [at, name] : std::exchange(b.probes, {})) answer_probe(b, name);
@@ -142,7 +142,7 @@
 
   int index(const std::string& name) const { return std::stoi(name.substr(1)); }
 
-  void answer_probe(Bench& b, const std::string& name) {
+  void answer_probe(PolicyFixture& b, const std::string& name) {
     const Worker& w = workers_[index(name)];
     if (!w.up) return b.handle(ProbeResultEvent{name, 1000, Outcome::connect_failed, {}});
     double connections = 0;
@@ -151,7 +151,7 @@
   }
 
   void deliver_submit(int balancer, std::uint64_t id, int worker) {
-    Bench& b = *balancers_[balancer];
+    PolicyFixture& b = *balancers_[balancer];
     // Calls to worker 1 do not count until the list shows that it has restarted.
     bool counted = worker != 1 || now_ < kFailureTime || now_ >= kListTime;
     workers_[worker].sent.back() += counted;
@@ -182,7 +182,7 @@
 
   std::mt19937_64 rng_;
   int groups_ = 1;
-  std::vector<std::unique_ptr<Bench>> balancers_;
+  std::vector<std::unique_ptr<PolicyFixture>> balancers_;
   std::vector<Worker> workers_;
   std::vector<Client> clients_;
   double total_scale_ = 0;
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 TEST_CASE("a call whose client left while a report was awaited is not sent on") {
-  Leaving d(dear_probes(), 1);
+  Leaving d(expensive_probes(), 1);
   core::Exchange& exchange = d.ask();
   REQUIRE(d.last_worker.empty());  // it waits for the report of the one worker
   d.there = false;
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("an attempt that was not begun counts as over for the module once its client's end is read") {
-  Leaving d(Bench::settings(), 1);
+  Leaving d(PolicyFixture::settings(), 1);
   d.cut_limit();
   d.there = false;
   for (int i = 0; i < 4; ++i) d.ask().client_left(core::CloseKind::orderly);
@@ -59,7 +59,7 @@
 }
 
 TEST_CASE("an attempt that was not begun counts as over where its client's end is never read") {
-  Leaving d(Bench::settings(), 1);
+  Leaving d(PolicyFixture::settings(), 1);
   d.cut_limit();
   d.there = false;
   for (int i = 0; i < 4; ++i) d.ask();
--- a/tests/crossings/discovery_test.cpp
+++ b/tests/crossings/discovery_test.cpp
@@ -17,24 +17,24 @@
 constexpr int kSeeds = 300;
 
 Settings asked() {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.pull_endpoints = true;
   return s;
 }
 
 // Each call fails `out` after it was made, `span` long; the times of the calls.
 std::vector<Time> calls_while_down(std::uint64_t seed, Time out, Time span) {
-  Bench bench(asked(), seed);
+  PolicyFixture bench(asked(), seed);
   bench.list(EndpointListKind::cached, workers(2));
   std::size_t failed = 0;
   while (bench.now < span) {
     bench.run(kSweep);
-    if (bench.tracks.size() > failed && bench.now >= bench.tracks.back() + out) {
+    if (bench.watch_times.size() > failed && bench.now >= bench.watch_times.back() + out) {
       bench.handle(EndpointListEvent{EndpointListKind::failed, nullptr});
       ++failed;
     }
   }
-  return bench.tracks;
+  return bench.watch_times;
 }
 
 }  // namespace
@@ -55,18 +55,18 @@
 
 TEST_CASE("A watch that fell silent is asked again before what it misses counts, whatever failed before") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    Bench bench(asked(), seed);
+    PolicyFixture bench(asked(), seed);
     bench.list(EndpointListKind::cached, workers(2));
     for (int failed = 0; failed < 5; ++failed) {
-      while (bench.tracks.size() <= static_cast<std::size_t>(failed)) bench.run(kSweep);
+      while (bench.watch_times.size() <= static_cast<std::size_t>(failed)) bench.run(kSweep);
       bench.handle(EndpointListEvent{EndpointListKind::failed, nullptr});
     }
-    while (bench.tracks.size() < 6) bench.run(kSweep);
+    while (bench.watch_times.size() < 6) bench.run(kSweep);
     bench.run(kWatchGivenUp);
     bench.handle(EndpointListEvent{EndpointListKind::failed, nullptr});
-    while (bench.tracks.size() < 7) bench.run(kSweep);
+    while (bench.watch_times.size() < 7) bench.run(kSweep);
     INFO("seed " << seed);
-    CHECK(bench.tracks[6] - bench.tracks[5] <= kWatchCounts - 2 * kSweep);
+    CHECK(bench.watch_times[6] - bench.watch_times[5] <= kWatchCounts - 2 * kSweep);
   }
 }
 
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -46,7 +46,7 @@
   const Time began;
 };
 
-int probes_in(Bench& b, Time span) {
+int probes_in(PolicyFixture& b, Time span) {
   std::size_t before = b.probes.size();
   for (const Time end = b.now + span; b.now < end;) {
     std::size_t answered = b.probes.size();
@@ -95,12 +95,12 @@
 
 TEST_CASE("a change of the balancer count causes neither a pause nor a burst of probes") {
   constexpr Time kMinute = 60'000'000;
-  Settings s = dear_probes();
+  Settings s = expensive_probes();
   s.balancers = 10;
   std::map<int, int> probes;
   for (int balancers : {2, 10, 50}) {
-    Bench b(s);
-    b.list(EndpointListKind::full, twelve());
+    PolicyFixture b(s);
+    b.list(EndpointListKind::full, twelve_workers());
     probes_in(b, 100 * kMinute);
     b.balancer.set_balancer_count(balancers);
     probes[balancers] = probes_in(b, 10 * kMinute);
@@ -111,7 +111,7 @@
 }
 
 TEST_CASE("the dispatcher passes the balancer count to the policy") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.balancers = 10;
   std::map<int, int> probes;
   for (int balancers : {0, 10, 1000}) {
--- a/tests/fleet/service/outside_test.cpp
+++ b/tests/fleet/service/outside_test.cpp
@@ -19,7 +19,9 @@
 // 400 connections on four workers, of which a new table names two.
 struct PoolChange {
   explicit PoolChange(const rebalance::Settings& settings)
-      : d(Bench::settings(), 4), counters(d.metrics), driver(settings, *d.dispatcher, d.startup, counters) {
+      : d(PolicyFixture::settings(), 4),
+        counters(d.metrics),
+        driver(settings, *d.dispatcher, d.startup, counters) {
     d.dispatcher->set_gate(gate);
     for (int i = 0; i < 400; ++i)
       d.dispatcher->adopt({}, d, d, std::to_string(1 + i % 4),
--- a/tests/fleet/service/pools_test.cpp
+++ b/tests/fleet/service/pools_test.cpp
@@ -30,7 +30,8 @@
   void list(const Names& names) {
     config::WorkerList whole;
     whole.snapshot = true;
-    for (const std::string& name : names) whole.workers.push_back({Bench::entry(name, Health::serving), ""});
+    for (const std::string& name : names)
+      whole.workers.push_back({PolicyFixture::entry(name, Health::serving), ""});
     workers.update_list(whole);
   }
   fleet::Routes& routes() { return *nodes.members.at("m0").node->routes(); }
@@ -113,7 +114,7 @@
 }
 
 TEST_CASE("the dispatcher reports to its gate which workers the policy has marked down") {
-  DispatcherFixture d(Bench::settings(), 3);
+  DispatcherFixture d(PolicyFixture::settings(), 3);
   DispatcherFixture::FakeGate gate;
   d.dispatcher->set_gate(gate);
   d.silent = {"2"};
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,11 +12,12 @@
 
 constexpr int kBalancers = 100;
 
-std::vector<std::unique_ptr<Bench>> fleet(Settings s = Bench::settings(), int balancers = kBalancers) {
-  std::vector<std::unique_ptr<Bench>> all;
+std::vector<std::unique_ptr<PolicyFixture>> fleet(Settings s = PolicyFixture::settings(),
+                                                  int balancers = kBalancers) {
+  std::vector<std::unique_ptr<PolicyFixture>> all;
   for (int me = 0; me < balancers; ++me) {
     s.balancers = balancers, s.balancer_index = me;
-    all.push_back(std::make_unique<Bench>(s, 1000 + static_cast<std::uint64_t>(me)));
+    all.push_back(std::make_unique<PolicyFixture>(s, 1000 + static_cast<std::uint64_t>(me)));
   }
   return all;
 }
@@ -26,11 +27,11 @@
 // Each suspect is looked at again within a moment, which is little for three balancers and was most of what
 // the workers did when a hundred that had a call or two each all suspected the same ones.
 TEST_CASE("the probes of a hundred balancers stay under what their calls are worth") {
-  Settings s = dear_probes();
+  Settings s = expensive_probes();
   auto all = fleet(s);
   double calls = 0, probes = 0;
   for (auto& b : all) {
-    b->list(EndpointListKind::full, twelve());
+    b->list(EndpointListKind::full, twelve_workers());
     for (int second = 0; second < 30; ++second) {
       if (second % 12 == 3) b->ask(), calls += 1;
       std::size_t answered = b->probes.size();
@@ -53,10 +54,10 @@
 }
 
 TEST_CASE("a balancer without calls still finds that a down worker is back") {
-  Settings s = dear_probes();
+  Settings s = expensive_probes();
   s.balancers = kBalancers;
-  Bench b(s);
-  b.list(EndpointListKind::full, {Bench::entry("1", Health::serving)});
+  PolicyFixture b(s);
+  b.list(EndpointListKind::full, {PolicyFixture::entry("1", Health::serving)});
   for (int i = 0; i < 3; ++i) b.handle(ProbeResultEvent{"1", 500'000, Outcome::timeout, {}});
   REQUIRE(b.balancer.down_backends().size() == 1);
   for (int second = 0; second < 60 && !b.balancer.down_backends().empty(); ++second) {
@@ -70,12 +71,12 @@
 // One call says that its group is all there is: a balancer that believed it spread every group over the
 // fleet.
 TEST_CASE("groups keep to a few workers though each of a hundred balancers sees two calls") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.groups = true;
   std::map<std::uint64_t, std::set<std::string>> by_group;
   auto all = fleet(s);
   for (std::size_t i = 0; i < all.size(); ++i) {
-    all[i]->list(EndpointListKind::full, twelve());
+    all[i]->list(EndpointListKind::full, twelve_workers());
     for (std::uint64_t call = 0; call < 2; ++call) {
       std::uint64_t group = 1 + (i + call) % 5;
       by_group[group].insert(all[i]->ask(group));
@@ -87,11 +88,11 @@
 // Each balancer of a big fleet once looked at its own seventh of the workers, in which a group's home is
 // mostly not found, and drew any worker of that seventh: 300 balancers scattered every group over all.
 TEST_CASE("a group of 300 balancers and 90 workers keeps to a few of these, and goes on when they fill") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.groups = true;
   std::vector<BackendEntry> ninety;
   for (int i = 0; i < 90; ++i) {
-    ninety.push_back(Bench::entry("w" + std::to_string(i), Health::serving));
+    ninety.push_back(PolicyFixture::entry("w" + std::to_string(i), Health::serving));
     ninety.back().scale = i % 3 == 0 ? 4 : 1.5;
   }
   std::set<std::string> home, next;
@@ -116,10 +117,10 @@
 // What one balancer sends was reckoned as if half of the fleet sent the same: 300 balancers took each worker
 // for stuck once they had used it, and moved off it whoever stood there.
 TEST_CASE("one of 300 balancers does not take a worker for stuck because it has sent one call there") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.balancers = 300;
-  Bench b(s);
-  b.list(EndpointListKind::full, twelve());
+  PolicyFixture b(s);
+  b.list(EndpointListKind::full, twelve_workers());
   b.hold("1", 1);  // one of few: the load of all is reckoned to be a few connections of each balancer
   for (int i = 1; i <= 12; ++i) b.report(std::to_string(i), 0.7);
   b.run(1'000'000);
@@ -131,12 +132,13 @@
 // Where probes are dear the last report may be minutes old: a call asks its worker first, and goes elsewhere
 // if that one is full.
 TEST_CASE("a call asks a worker of which nothing new is known before it is sent there") {
-  Settings s = dear_probes();
+  Settings s = expensive_probes();
   s.balancers = kBalancers;
   int sent_to_full = 0, asked = 0;
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
-    Bench b(s, seed);
-    b.list(EndpointListKind::full, {Bench::entry("1", Health::serving), Bench::entry("2", Health::serving)});
+    PolicyFixture b(s, seed);
+    b.list(EndpointListKind::full,
+           {PolicyFixture::entry("1", Health::serving), PolicyFixture::entry("2", Health::serving)});
     b.run(10'000'000);
     b.probes.clear();
     b.handle(RequestEvent{900, 0, 2'000'000, 0, false, 0});
@@ -154,10 +156,10 @@
 
 // Where no report ever comes, a call that asks first only waits, twice 30 ms, and pays for two probes.
 TEST_CASE("a call is sent at once where the settings say that probes tell no load") {
-  Settings s = dear_probes();
+  Settings s = expensive_probes();
   s.load_reported = false;
-  Bench b(s);
-  b.list(EndpointListKind::full, twelve());
+  PolicyFixture b(s);
+  b.list(EndpointListKind::full, twelve_workers());
   b.run(10'000'000);
   std::size_t before = b.probes.size();
   CHECK(b.ask() != "");
@@ -168,14 +170,14 @@
 // and yet it must not stand idle while the others drown, though each balancer has a call every ten seconds.
 TEST_CASE("a hundred balancers with a call now and then use a cold worker, and a crowd does not flood it") {
   auto cold_after = [](int calls_at_once) {
-    Settings s = Bench::settings();
+    Settings s = PolicyFixture::settings();
     int cold = 0;
     for (auto& b : fleet(s)) {
       b->now = 1'000'000;
-      b->list(EndpointListKind::full, twelve());
+      b->list(EndpointListKind::full, twelve_workers());
       b->hold("2", 1);
       b->run(1'000'000);
-      BackendEntry young = Bench::entry("1", Health::serving);
+      BackendEntry young = PolicyFixture::entry("1", Health::serving);
       young.start_time = b->now;
       b->list(EndpointListKind::changes, {young});
       b->run(4'000'000);
@@ -195,7 +197,7 @@
 // A release: half of the fleet is new, and the old half is full. Counted out to each balancer in tokens of
 // its own, the capacity of the new ones was missed by a call in four here, and on the days of 300 by most.
 TEST_CASE("300 balancers fill the new half of 90 workers while the old half drowns, and push none over") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.groups = true;
   std::vector<BackendEntry> ninety = workers(90), young;
   for (std::size_t i = 1; i < ninety.size(); i += 2)
@@ -228,7 +230,7 @@
 // workers wide, every group stood on many, and each of them pays for it: half as much load again after a
 // release.
 TEST_CASE("where balancers hold a connection or two, a group keeps to one worker while it has capacity") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.groups = true;
   std::vector<BackendEntry> young = workers(60);
   for (std::size_t i = 1; i < young.size(); i += 2) young[i].start_time = 1'000'000;
@@ -250,7 +252,7 @@
 // Started together and refused for 20 s, a hundred must neither call in step nor oftener, and be back soon
 // after.
 TEST_CASE("a registry that refuses a hundred balancers is called ever less, never in step, and found again") {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.pull_endpoints = true;
   std::map<Time, int> calls;  // by tenths of a second
   constexpr Time kTrouble = 20'000'000;
@@ -258,16 +260,16 @@
     calls.clear();
     for (int me = 0; me < kBalancers; ++me) {
       s.balancers = kBalancers, s.balancer_index = me;
-      Bench b(s, seed * 1000 + static_cast<std::uint64_t>(me));
-      b.list(EndpointListKind::cached, twelve());
+      PolicyFixture b(s, seed * 1000 + static_cast<std::uint64_t>(me));
+      b.list(EndpointListKind::cached, twelve_workers());
       bool told = false;
       for (std::size_t answered = 0; b.now < kTrouble + 10'000'000 && !told;) {
         b.run(50'000);
-        for (; answered < b.tracks.size() && !told; ++answered) {
+        for (; answered < b.watch_times.size() && !told; ++answered) {
           calls[b.now / 100'000] += 1;
           told = b.now > kTrouble;
           b.list(told ? EndpointListKind::full : EndpointListKind::failed,
-                 told ? twelve() : std::vector<BackendEntry>());
+                 told ? twelve_workers() : std::vector<BackendEntry>());
         }
       }
       CHECK(told);  // within 10 s of the trouble's end
@@ -287,7 +289,7 @@
   std::size_t placed = 0, calls = 0;
   for (auto& b : fleet()) {
     b->now = 1'000'000;
-    std::vector<BackendEntry> young = twelve();
+    std::vector<BackendEntry> young = twelve_workers();
     for (BackendEntry& entry : young) entry.start_time = b->now;
     b->list(EndpointListKind::full, young);
     for (std::uint64_t id = 1; id <= 4; ++id) {
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -6,7 +6,7 @@
 namespace marblehub::test {
 
 TEST_CASE("all connections leave a draining worker at an even rate and in time") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 60);
   b.hold("w2", 20);
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("connections leave a deleted worker, and stay if draining is revoked") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 10);
   b.list(EndpointListKind::changes, {b.entry("w1", Health::deleted)});
@@ -38,7 +38,7 @@
 }
 
 TEST_CASE("no connection is moved if no worker is usable") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.hold("w1", 10);
   b.list(EndpointListKind::changes, {b.entry("w1", Health::draining), b.entry("w2", Health::draining)});
@@ -49,8 +49,8 @@
 // Slow messages may not be observable on a connection, so a report that implies them is checked again soon.
 TEST_CASE("a report of a high load triggers a probe within about a second, a low load does not") {
   for (double load : {0.95, 0.2}) {
-    Bench b(dear_probes());
-    b.list(EndpointListKind::full, twelve());
+    PolicyFixture b(expensive_probes());
+    b.list(EndpointListKind::full, twelve_workers());
     b.hold("1", 10);
     b.run(20'000'000);
     b.handle(ProbeResultEvent{"1", 1000, Outcome::served, {0.2}});
@@ -65,8 +65,8 @@
 }
 
 TEST_CASE("a worker that holds connections at the start is probed within the first second") {
-  Bench b(dear_probes());
-  b.list(EndpointListKind::full, twelve());
+  PolicyFixture b(expensive_probes());
+  b.list(EndpointListKind::full, twelve_workers());
   b.hold("1", 10);
   b.run(1'050'000);
   CHECK(b.probed("1") == 1);
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -10,7 +10,7 @@
 
 // Settings with groups.
 Settings grouped() {
-  Settings s = Bench::settings();
+  Settings s = PolicyFixture::settings();
   s.groups = true;
   return s;
 }
@@ -24,8 +24,8 @@
   for (int me = 0; me < 3; ++me) {
     Settings s = grouped();
     s.balancers = 3, s.balancer_index = me;
-    Bench b(s, 100 + static_cast<std::uint64_t>(me));
-    b.list(EndpointListKind::full, twelve());
+    PolicyFixture b(s, 100 + static_cast<std::uint64_t>(me));
+    b.list(EndpointListKind::full, twelve_workers());
     for (std::uint64_t group = 1; group <= 5; ++group)
       b.hold("1", 8, group);  // connections of all groups are open
     for (int i = 0; i < 100; ++i) {
@@ -41,8 +41,8 @@
 
 // A route restricts the workers of a call. The restriction must hold for retries too.
 TEST_CASE("a call restricted to some workers uses no other, and is rejected when they are gone") {
-  Bench b;
-  b.list(EndpointListKind::full, twelve());
+  PolicyFixture b;
+  b.list(EndpointListKind::full, twelve_workers());
   auto allowed = std::make_shared<const std::set<std::string>>(std::set<std::string>{"3", "7"});
   std::set<std::string> used;
   for (int i = 0; i < 60; ++i) {
@@ -64,7 +64,7 @@
 
 // An unresponsive pool exhausts only its own setup limit, so calls of other pools must not wait.
 TEST_CASE("calls of an unresponsive pool do not delay calls of another pool") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, workers(4));
   auto set = [](const char* one, const char* other) {
     return std::make_shared<const std::set<std::string>>(std::set<std::string>{one, other});
@@ -93,16 +93,16 @@
 }
 
 TEST_CASE("without groups in the settings, connections spread over all workers") {
-  Bench b;
-  b.list(EndpointListKind::full, twelve());
+  PolicyFixture b;
+  b.list(EndpointListKind::full, twelve_workers());
   std::set<std::string> workers;
   for (int i = 0; i < 200; ++i) workers.insert(b.ask(7));
   CHECK(workers.size() == 12);
 }
 
 TEST_CASE("a group moves on to other workers if its own are overloaded") {
-  Bench b(grouped());
-  b.list(EndpointListKind::full, twelve());
+  PolicyFixture b(grouped());
+  b.list(EndpointListKind::full, twelve_workers());
   for (std::uint64_t group = 1; group <= 5; ++group) b.hold("1", 8, group);
   std::set<std::string> home, next;
   for (int i = 0; i < 60; ++i) home.insert(b.ask(3));
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE("a worker that reports little headroom gets few connections") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.report("w1", 0.75);
   b.report("w2", 0.25);
@@ -127,7 +127,7 @@
 
 // A hung worker still answers probes, so it is not marked down. It must not count as an overloaded fleet.
 TEST_CASE("connections leave a hung worker within seconds, and no call is rejected") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full,
          {b.entry("w1", Health::serving), b.entry("w2", Health::serving), b.entry("w3", Health::serving)});
   b.hold("w1", 10);
@@ -146,7 +146,7 @@
 
 // One very slow message must not exclude its worker for long.
 TEST_CASE("the delay of a worker is bounded, and cleared when it recovers from being down") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving), b.entry("w2", Health::serving)});
   b.report("w1", 0.1);
   b.report("w2", 0.1);
@@ -157,7 +157,7 @@
   for (int i = 0; i < 100; ++i) again += b.ask() == "w1";
   CHECK(again >= 20);
 
-  Bench c;
+  PolicyFixture c;
   c.list(EndpointListKind::full, {c.entry("w1", Health::serving), c.entry("w2", Health::serving)});
   c.hold("w1", 1);
   c.handle(ConnectionUpdateEvent{1, 0, ConnectionUpdateKind::messages_slow, 30'000});
@@ -172,7 +172,7 @@
 
 // A balancer without a free descriptor must not mark workers down.
 TEST_CASE("a probe that was not sent does not count as a miss") {
-  Bench b;
+  PolicyFixture b;
   b.list(EndpointListKind::full, {b.entry("w1", Health::serving)});
   for (int i = 0; i < 5; ++i) b.handle(ProbeResultEvent{"w1", 0, Outcome::not_sent, {}});
   CHECK(b.balancer.counts().down == 0);
--- a/tests/settings/rules_test.cpp
+++ b/tests/settings/rules_test.cpp
@@ -5,14 +5,14 @@
 #include "support/module_bench.h"
 
 using namespace marblehub::settings_play;
-using marblehub::test::Bench;
+using marblehub::test::PolicyFixture;
 
 namespace {
 
 constexpr Time kS = 1'000'000;
 
 // A call that is served at once and over, so that calls before it weigh on none after it for long.
-std::string place(Bench& b) {
+std::string place(PolicyFixture& b) {
   std::uint64_t id = b.next_id++;
   b.handle(RequestEvent{id, 0, 2 * kS, 0, false, id});
   for (int i = 0; i < 20 && !b.placed.count(id); ++i) b.run(50'000);  // it may wait for a report
@@ -28,7 +28,7 @@
     "under any settings three misses in a row mark a worker down, and a probe that succeeds marks it up") {
   bool held =
       under_any_settings("misses", 40, [](const Drawn& d, const std::vector<std::pair<bool, bool>>& deeds) {
-        Bench b(d.settings(0), d.seed);
+        PolicyFixture b(d.settings(0), d.seed);
         b.list(EndpointListKind::full, marblehub::test::workers(3));
         int misses = 0;
         for (auto [missed, late] : deeds) {
@@ -43,7 +43,7 @@
 
 TEST_CASE("under any settings placement is round robin while all workers are down") {
   bool held = under_any_settings("all down", 40, [](const Drawn& d) {
-    Bench b(d.settings(0), d.seed);
+    PolicyFixture b(d.settings(0), d.seed);
     b.list(EndpointListKind::full, marblehub::test::workers(d.workers));
     for (int w = 1; w <= d.workers; ++w)
       for (int i = 0; i < 3; ++i)
@@ -62,7 +62,7 @@
 // second of all balancers. Where they are dear the fleet bounds what they cost.
 TEST_CASE("under any settings workers are probed periodically, where they may be") {
   bool held = under_any_settings("probes", 40, [](const Drawn& d) {
-    Bench b(d.settings(0), d.seed);
+    PolicyFixture b(d.settings(0), d.seed);
     b.list(EndpointListKind::full, marblehub::test::workers(12));
     Time interval = std::max<Time>(5 * kS, d.balancers * kS / 20);
     std::map<std::string, Time> last;
@@ -90,7 +90,7 @@
       for (std::uint64_t draw = 0; draw < 300; ++draw) {
         Settings s = d.settings(0);
         s.may_probe = s.groups = false;  // no call waits for a report, and no group decides
-        Bench b(s, d.seed + draw);
+        PolicyFixture b(s, d.seed + draw);
         b.list(EndpointListKind::full, marblehub::test::workers(2));
         b.handle(ProbeResultEvent{"2", 400'000, Outcome::served, {}});
         for (int i = 0; i < good_ones; ++i) b.handle(ProbeResultEvent{"2", 3000, Outcome::served, {}});
--- a/tests/support/module_bench.h
+++ b/tests/support/module_bench.h
@@ -13,8 +13,8 @@
 
 using namespace marblehub::policy;
 
-struct Bench {
-  explicit Bench(const Settings& s = settings(), std::uint64_t seed = 7) : balancer(s, seed, 0) {}
+struct PolicyFixture {
+  explicit PolicyFixture(const Settings& s = settings(), std::uint64_t seed = 7) : balancer(s, seed, 0) {}
 
   static Settings settings() {
     Settings s;
@@ -44,7 +44,7 @@
       if (auto* probe = std::get_if<Probe>(&action)) probes.emplace_back(now, probe->backend);
       if (auto* sent = std::get_if<Submit>(&action)) placed[sent->id] = sent->backend;
       if (auto* refusal = std::get_if<Reject>(&action)) rejected.push_back(refusal->id);
-      if (std::holds_alternative<WatchEndpoints>(action)) tracks.push_back(now);
+      if (std::holds_alternative<WatchEndpoints>(action)) watch_times.push_back(now);
     }
   }
   void run(Time span) {
@@ -81,20 +81,21 @@
   std::vector<std::pair<Time, std::string>> probes;
   std::map<std::uint64_t, std::string> placed;
   std::vector<std::uint64_t> rejected;
-  std::vector<Time> tracks;  // when the list was asked for
+  std::vector<Time> watch_times;  // when the list was asked for
 };
 
 // Workers named 1 to `count`.
 inline std::vector<BackendEntry> workers(int count) {
   std::vector<BackendEntry> entries;
-  for (int i = 1; i <= count; ++i) entries.push_back(Bench::entry(std::to_string(i), Health::serving));
+  for (int i = 1; i <= count; ++i)
+    entries.push_back(PolicyFixture::entry(std::to_string(i), Health::serving));
   return entries;
 }
 
-inline std::vector<BackendEntry> twelve() { return workers(12); }
+inline std::vector<BackendEntry> twelve_workers() { return workers(12); }
 
-inline Settings dear_probes() {
-  Settings s = Bench::settings();
+inline Settings expensive_probes() {
+  Settings s = PolicyFixture::settings();
   s.price_probe = 0.0018;  // stretches the interval as on the platform
   return s;
 }
