--- a/bench/quic_forward.cpp
+++ b/bench/quic_forward.cpp
@@ -149,7 +149,7 @@
         to = test::loopback(test::port_of(bare_in));
         forwarder = std::thread([&] { forward_bare(bare_in, bare_out, stop); });
       } else {
-        router = bench::start_router(test::text_of(test::port_of(sink_fd)), mode, 1024);
+        router = bench::start_router(test::loopback_address_text(test::port_of(sink_fd)), mode, 1024);
         to = test::loopback(router.port);
       }
       std::thread drain([&] { count_received(sink_fd, count, stop); });
--- a/bench/quic_memory.cpp
+++ b/bench/quic_memory.cpp
@@ -26,7 +26,7 @@
   bench::Router router_process = bench::start_router(worker.local().text(), "proxy-v2", 256);
   test::Program& router = *router_process.program;
   IdCodec codec({bench::ids()});
-  Endpoint to = *Endpoint::parse(test::text_of(router_process.port));
+  Endpoint to = *Endpoint::parse(test::loopback_address_text(router_process.port));
   long empty_kb = router.resident_kb();
 
   std::vector<std::unique_ptr<peers::Udp>> clients;
--- a/bench/router.h
+++ b/bench/router.h
@@ -38,7 +38,7 @@
   char path[] = "/tmp/marblehub-bench-XXXXXX";
   ::close(mkstemp(path));
   std::ofstream(path) << json{{"enabled", true},
-                              {"listen", test::text_of(port)},
+                              {"listen", test::loopback_address_text(port)},
                               {"class", "telemetry"},
                               {"deadline_ms", 3000},
                               {"idle_ms", 600000},
--- a/tests/crossings/streams_test.cpp
+++ b/tests/crossings/streams_test.cpp
@@ -180,7 +180,7 @@
 TEST_CASE("the system holds back no small write of a stream, accepted or connected", "[streams]") {
   net::Loop loop;
   Heard heard;
-  const int listening = bound(SOCK_STREAM);
+  const int listening = bound_socket(SOCK_STREAM);
   REQUIRE(::listen(listening, 1) == 0);
   const int next = ::dup(listening);  // the number that the stream's own socket gets
   ::close(next);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -19,17 +19,17 @@
 }
 
 TEST_CASE("a client that does not read blocks its worker, with bounded memory and without loss") {
-  int worker = bound(SOCK_STREAM);
+  int worker = bound_socket(SOCK_STREAM);
   ::listen(worker, 1);
   json known = json::array({{{"name", "w1"},
-                             {"address", text_of(port_of(worker))},
+                             {"address", loopback_address_text(port_of(worker))},
                              {"zone", "a"},
                              {"status", "ready"},
                              {"weight", 1.0}}});
   json own = settings();
   own["limits"]["probes"] = false;
   Program program(known, own, free_port(SOCK_STREAM));
-  int client = connected(program.port);
+  int client = connected_socket(program.port);
   std::string open = "OPEN 1 2 c=telemetry,d=2000\r\n";
   ::send(client, open.data(), open.size(), 0);
   int call = ::accept(worker, nullptr, nullptr);
@@ -63,7 +63,7 @@
   json own = settings();
   own["limits"]["probes"] = false;
   Program program(json::array(), own, free_port(SOCK_STREAM));
-  int client = connected(program.port);
+  int client = connected_socket(program.port);
   std::string block(1 << 20, 'k'), got;
   std::int64_t began = now_ms();
   std::size_t sent = 0;
--- a/tests/fleet/processes/balancers.cpp
+++ b/tests/fleet/processes/balancers.cpp
@@ -31,7 +31,7 @@
     names_.push_back("b" + std::to_string(i + 1));
     One& one = ones_[names_.back()];
     one.name = names_.back();
-    one.address = own_address(i, kPort);
+    one.address = process_address(i, kPort);
     one.folder = folder_ + "/" + one.name;
     std::filesystem::create_directories(one.folder + "/data");
   }
@@ -80,7 +80,7 @@
   json whole = {
       {"name", one.name},
       {"listen", front(one.name)},
-      {"discovery", text_of(stand_ins_->registry_port())},
+      {"discovery", loopback_address_text(stand_ins_->registry_port())},
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"sockets", 1024}}},
       {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", json::parse(stand_ins_->known())}}},
@@ -129,7 +129,7 @@
 }
 
 std::string Balancers::front(const std::string& name) const {
-  return own_address(std::stoi(name.substr(1)) - 1, kFront);
+  return process_address(std::stoi(name.substr(1)) - 1, kFront);
 }
 
 void Balancers::calls(const std::string& name, double a_second, const std::string& fields) {
--- a/tests/fleet/processes/links.cpp
+++ b/tests/fleet/processes/links.cpp
@@ -72,7 +72,7 @@
   auto pair = std::make_unique<Pair>();
   pair->to = *config::parse_address(address);
   for (int tries = 0; pair->listener < 0; ++tries) {  // one port for both
-    pair->udp = bound(SOCK_DGRAM | SOCK_NONBLOCK);
+    pair->udp = bound_socket(SOCK_DGRAM | SOCK_NONBLOCK);
     int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     sockaddr_in at = loopback(port_of(pair->udp));
     if (::bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 && ::listen(fd, 64) == 0) {
@@ -87,7 +87,7 @@
   pair->on_listener = {Watched::listener, pair.get(), nullptr};
   watch(pair->udp, pair->on_udp);
   watch(pair->listener, pair->on_listener);
-  std::string own = text_of(port_of(pair->udp));
+  std::string own = loopback_address_text(port_of(pair->udp));
   pairs_[{from, to}] = std::move(pair);
   return own;
 }
--- a/tests/fleet/processes/peers_test.cpp
+++ b/tests/fleet/processes/peers_test.cpp
@@ -61,7 +61,7 @@
   a.peers->send(loopback(free_port(SOCK_STREAM)), "x");
   run(loop, kSecond, [&] { return a.dropped["unreachable"] > 0; });
   CHECK(a.dropped["unreachable"] == 1);
-  int deaf = bound(SOCK_STREAM);
+  int deaf = bound_socket(SOCK_STREAM);
   ::listen(deaf, 1);
   for (int i = 0; i < 8; ++i)
     a.peers->send(loopback(port_of(deaf)), std::string(kMaxStreamMessageBytes / 2, 'x'));
@@ -78,7 +78,7 @@
 TEST_CASE("strangers' streams are ended, and there are only so many") {
   net::Loop loop;
   Side a(loop);
-  int forger = connected(ntohs(a.at.sin_port)), long_one = connected(ntohs(a.at.sin_port));
+  int forger = connected_socket(ntohs(a.at.sin_port)), long_one = connected_socket(ntohs(a.at.sin_port));
   write(forger, std::string("\0\0\0\6forged\0\0\0\1x", 15));
   write(long_one, std::string("\0\x20\0\0", 4));
   run(loop, kSecond,
@@ -88,7 +88,7 @@
   CHECK(a.peers->incoming() == 0);
   std::vector<int> crowd;
   for (std::size_t i = 0; i < kMaxUnverifiedStreams + 8; ++i)
-    crowd.push_back(connected(ntohs(a.at.sin_port)));
+    crowd.push_back(connected_socket(ntohs(a.at.sin_port)));
   run(loop, kSecond, [&] { return a.dropped["streams"] == 8; });
   CHECK(a.dropped["streams"] == 8);
   CHECK(a.peers->incoming() == kMaxUnverifiedStreams);
--- a/tests/fleet/processes/stand_ins.cpp
+++ b/tests/fleet/processes/stand_ins.cpp
@@ -29,7 +29,7 @@
 
 struct StandIns::Worker {
   std::string name;
-  int fd = bound(SOCK_STREAM | SOCK_NONBLOCK);
+  int fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
   struct Conn {
     int fd = -1;
     std::string in;
@@ -66,7 +66,8 @@
     : began_(began_ms), registry_(std::make_unique<Registry>()) {
   for (int i = 1; i <= workers; ++i) {
     workers_.push_back(std::make_unique<Worker>("w" + std::to_string(i)));
-    registry_->stand_in.set(workers_.back()->name, text_of(port_of(workers_.back()->fd)), "ready");
+    registry_->stand_in.set(workers_.back()->name, loopback_address_text(port_of(workers_.back()->fd)),
+                            "ready");
   }
   thread_ = std::thread([this] { run(); });
 }
@@ -144,17 +145,17 @@
   if (it == workers_.end()) throw std::runtime_error("no such worker: " + name);
   Worker& worker = **it;
   if (what == "drain") {
-    registry_->stand_in.set(name, text_of(port_of(worker.fd)), "draining");
+    registry_->stand_in.set(name, loopback_address_text(port_of(worker.fd)), "draining");
     told_.push_back({now(), name, "draining"});
   } else if (what == "kill") {
     worker.end();
     told_.push_back({now(), name, "killed"});
   } else if (what == "start") {
     worker.end();
-    worker.fd = bound(SOCK_STREAM | SOCK_NONBLOCK);
+    worker.fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
     ::listen(worker.fd, 256);
     auto unix_ms = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
-    registry_->stand_in.set(name, text_of(port_of(worker.fd)), "ready", unix_ms);
+    registry_->stand_in.set(name, loopback_address_text(port_of(worker.fd)), "ready", unix_ms);
     told_.push_back({now(), name, "started"});
   } else {
     throw std::runtime_error("drain, kill or start expected, not " + what);
--- a/tests/fleet_files_test.cpp
+++ b/tests/fleet_files_test.cpp
@@ -36,7 +36,7 @@
     good["fleet"] = {{"enabled", true},
                      {"fleet", "f"},
                      {"name", "b1"},
-                     {"listen", own_address(0, 7946)},
+                     {"listen", process_address(0, 7946)},
                      {"key_file", folder + "/key"},
                      {"voters", {"b1", "b2", "b3"}},
                      {"data", folder + "/data"},
@@ -50,8 +50,8 @@
                       {"deposits", json::array({{{"wallet", "acme"}, {"id", "1"}, {"units", 100}}})}};
     mend();
     start = {{"name", "n0"},
-             {"listen", own_address(0, 7000)},
-             {"discovery", text_of(free_port(SOCK_STREAM))},
+             {"listen", process_address(0, 7000)},
+             {"discovery", loopback_address_text(free_port(SOCK_STREAM))},
              {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", known()}}},
              {"settings", settings()},
              {"fleet", file("fleet")}};
@@ -62,8 +62,10 @@
   ~Files() { std::filesystem::remove_all(folder); }
 
   static json known() {
-    return json::array(
-        {{{"name", "w1"}, {"status", "ready"}, {"zone", "a"}, {"address", text_of(free_port(SOCK_STREAM))}}});
+    return json::array({{{"name", "w1"},
+                         {"status", "ready"},
+                         {"zone", "a"},
+                         {"address", loopback_address_text(free_port(SOCK_STREAM))}}});
   }
   std::string file(const std::string& kind) const { return folder + "/" + kind + ".json"; }
   void write(const std::string& name, const std::string& text) const {
@@ -206,7 +208,7 @@
 TEST_CASE("a reload with one bad file of the fleet follows no other file") {
   Files files;
   json quic = {{"enabled", true},
-               {"listen", text_of(free_port(SOCK_DGRAM))},
+               {"listen", loopback_address_text(free_port(SOCK_DGRAM))},
                {"class", "telemetry"},
                {"deadline_ms", 1000},
                {"idle_ms", 30000},
@@ -217,7 +219,7 @@
   Program program(Files::known(), settings(), free_port(SOCK_STREAM), files.file("quic"), "/nonexistent",
                   1024, "/nonexistent", 1, files.file("fleet"));
   REQUIRE(program.log().find("fleet: b1 of f on ") != std::string::npos);
-  quic["listen"] = text_of(free_port(SOCK_DGRAM));
+  quic["listen"] = loopback_address_text(free_port(SOCK_DGRAM));
   files.write("quic.json", quic.dump());
   for (const char* kind : {"fleet", "routes", "wallet"}) {
     files.spoil(kind, {{"no_such", 1}});
--- a/tests/model_sockets_test.cpp
+++ b/tests/model_sockets_test.cpp
@@ -18,7 +18,7 @@
 // A worker of one core: says UP to whom it is asked for, and in its reports what the connections make.
 struct Worker {
   std::string name;
-  int fd = bound(SOCK_STREAM | SOCK_NONBLOCK);
+  int fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
   struct Conn {
     int fd;
     std::string in;
@@ -76,10 +76,10 @@
   ~Scene() { std::remove(file.c_str()); }
   void join(const std::string& name) {
     workers.push_back(std::make_unique<Worker>(name));
-    registry.set(name, text_of(port_of(workers.back()->fd)), "ready");
+    registry.set(name, loopback_address_text(port_of(workers.back()->fd)), "ready");
   }
   void open(Client& c, bool again) {
-    c.fd = connected(program->port);
+    c.fd = connected_socket(program->port);
     c.up = false;
     c.in.clear();
     std::string line =
@@ -197,7 +197,7 @@
 
   // A worker that leaves: all that stood there are told to move, once each, in the one as in the other.
   int there = scene.workers[0]->standing;
-  scene.registry.set("w1", text_of(port_of(scene.workers[0]->fd)), "draining");
+  scene.registry.set("w1", loopback_address_text(port_of(scene.workers[0]->fd)), "draining");
   scene.until_second(105);
   CHECK(scene.workers[0]->standing == 0);
   CHECK(scene.moves - moves >= there);
--- a/tests/product_test.cpp
+++ b/tests/product_test.cpp
@@ -33,7 +33,7 @@
 
 // A remote write receiver that answers each request with the next status of a list and repeats the last one.
 struct Receiver {
-  Receiver() : fd(bound(SOCK_STREAM | SOCK_NONBLOCK)) { ::listen(fd, 8); }
+  Receiver() : fd(bound_socket(SOCK_STREAM | SOCK_NONBLOCK)) { ::listen(fd, 8); }
   ~Receiver() {
     ::close(fd);
     if (conn >= 0) ::close(conn);
@@ -79,15 +79,16 @@
     char path[] = "/tmp/marblehub-write-XXXXXX";
     ::close(mkstemp(path));
     file = path;
-    std::ofstream(file) << json{{"enabled", true},
-                                {"url", "http://" + text_of(port_of(receiver.fd)) + "/api/v1/write"},
-                                {"interval_ms", interval_ms},
-                                {"queue", queue},
-                                {"labels", {{"job", "test"}}}};
+    std::ofstream(file) << json{
+        {"enabled", true},
+        {"url", "http://" + loopback_address_text(port_of(receiver.fd)) + "/api/v1/write"},
+        {"interval_ms", interval_ms},
+        {"queue", queue},
+        {"labels", {{"job", "test"}}}};
     quic = file + ".quic";
     std::ofstream(quic) << json{
         {"enabled", true},
-        {"listen", text_of(free_port(SOCK_DGRAM))},
+        {"listen", loopback_address_text(free_port(SOCK_DGRAM))},
         {"class", "telemetry"},
         {"deadline_ms", 1000},
         {"idle_ms", 30000},
@@ -158,7 +159,7 @@
   ::close(w.receiver.fd);
   w.receiver.fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
   usleep(900000);
-  int fd = connected(w.program->port);
+  int fd = connected_socket(w.program->port);
   REQUIRE(::send(fd, "PING\r\n", 6, 0) == 6);
   char answer[6];
   CHECK(::recv(fd, answer, 6, MSG_WAITALL) == 6);
@@ -173,8 +174,10 @@
   const std::string key = w.file + ".key", fleet = w.file + ".fleet";
   std::ofstream(key) << std::string(64, 'a');
   ::chmod(key.c_str(), 0600);
-  std::ofstream(fleet) << json{
-      {"enabled", true}, {"fleet", "f"}, {"listen", text_of(free_port(SOCK_STREAM))}, {"key_file", key}};
+  std::ofstream(fleet) << json{{"enabled", true},
+                               {"fleet", "f"},
+                               {"listen", loopback_address_text(free_port(SOCK_STREAM))},
+                               {"key_file", key}};
   w.program.reset();  // frees its ports for the next one
   w.program = std::make_unique<Program>(json::array(), settings(), w.registry_port, w.quic, w.file, 1024,
                                         "/nonexistent", 1, fleet);
--- a/tests/quic/testbed.h
+++ b/tests/quic/testbed.h
@@ -21,7 +21,7 @@
 
 /// A nonblocking UDP socket on a loopback port of its own.
 struct UdpSocket {
-  UdpSocket() : fd(bound(SOCK_DGRAM | SOCK_NONBLOCK)) {}
+  UdpSocket() : fd(bound_socket(SOCK_DGRAM | SOCK_NONBLOCK)) {}
   UdpSocket(const UdpSocket&) = delete;
   ~UdpSocket() { ::close(fd); }
   void send(const std::string& bytes, const sockaddr_in& to) const {
@@ -169,7 +169,7 @@
 /// The started program with its quic.json, stub workers and clients, and a registry that lists the workers.
 struct QuicTestbed {
   explicit QuicTestbed(std::vector<std::string> names, int deadline_ms = 1500, rlim_t files = 1024) {
-    registry = bound(SOCK_STREAM | SOCK_NONBLOCK);
+    registry = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
     ::listen(registry, 8);
     json known = json::array();
     for (auto& name : names) {
@@ -182,7 +182,7 @@
     file = path;
     std::ofstream(file) << json{
         {"enabled", true},
-        {"listen", text_of(port)},
+        {"listen", loopback_address_text(port)},
         {"class", "telemetry"},
         {"deadline_ms", deadline_ms},
         {"idle_ms", 30000},
@@ -199,7 +199,7 @@
     std::remove(file.c_str());
   }
   static json entry(const StubWorker& w, const char* status) {
-    return {{"name", w.name}, {"address", text_of(port_of(w.udp.fd))},
+    return {{"name", w.name}, {"address", loopback_address_text(port_of(w.udp.fd))},
             {"zone", "a"},    {"type", "m"},
             {"group", 0},     {"status", status},
             {"weight", 1.0},  {"since_ms", 0}};
--- a/tests/support/exchange/programs.cpp
+++ b/tests/support/exchange/programs.cpp
@@ -52,7 +52,7 @@
 // Each gets its own loopback address, so that no two can choose the same port.
 void ExchangePlayer::start_extra_programs(int count) {
   for (int i = 0; i < count; ++i) {
-    std::string address = own_address(i, 1);
+    std::string address = process_address(i, 1);
     std::string host = address.substr(0, address.find(':'));
     ExtraProgram extra;
     extra.program = std::make_unique<Program>(json::array(), settings_, port_of(registry_fd_), "/nonexistent",
--- a/tests/support/exchange/registry.cpp
+++ b/tests/support/exchange/registry.cpp
@@ -49,11 +49,11 @@
   if (path == "registry") {
     ::close(registry_fd_);
     if (registry_) former_registry_connections_.push_back(std::move(registry_));
-    registry_fd_ = bound(SOCK_STREAM | SOCK_NONBLOCK);
+    registry_fd_ = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
     ::listen(registry_fd_, 16);
     registry_fillers_.clear();
     registry_accepts_ = true;
-    program_->config()["discovery"] = text_of(port_of(registry_fd_));
+    program_->config()["discovery"] = loopback_address_text(port_of(registry_fd_));
     full_list_due_ = true;
   } else if (!value.empty()) {
     program_->config()[pointer_to(path)] = json::parse(value);
@@ -106,7 +106,7 @@
   for (std::size_t at; (at = text.find(sign)) != std::string::npos;) {
     std::size_t end = text.find('~', at + sign.size());
     std::string worker = text.substr(at + sign.size(), end - at - sign.size());
-    text.replace(at, end + 1 - at, text_of(port_of(workers_.at(worker).fd)));
+    text.replace(at, end + 1 - at, loopback_address_text(port_of(workers_.at(worker).fd)));
   }
   return text;
 }
--- a/tests/support/exchange/steps.cpp
+++ b/tests/support/exchange/steps.cpp
@@ -4,7 +4,7 @@
 namespace marblehub::test {
 
 ExchangePlayer::ExchangePlayer() {
-  registry_fd_ = bound(SOCK_STREAM | SOCK_NONBLOCK);
+  registry_fd_ = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
   ::listen(registry_fd_, 16);
 }
 
@@ -193,7 +193,7 @@
   auto& c = connections_[who];
   if (!c) {
     c = std::make_shared<Connection>();
-    c->fd = connected(program_->port);
+    c->fd = connected_socket(program_->port);
   }
   return *c;
 }
--- a/tests/support/exchange/workers.cpp
+++ b/tests/support/exchange/workers.cpp
@@ -5,9 +5,9 @@
 
 void ExchangePlayer::add_worker(const std::string& name) {
   Worker& w = workers_[name];
-  w.fd = bound(SOCK_STREAM | SOCK_NONBLOCK);
+  w.fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
   ::listen(w.fd, 64);
-  add_entry(name, text_of(port_of(w.fd)));
+  add_entry(name, loopback_address_text(port_of(w.fd)));
 }
 
 void ExchangePlayer::add_entry(const std::string& name, const std::string& address) {
@@ -16,7 +16,7 @@
 }
 
 void ExchangePlayer::add_unreachable(int count) {
-  for (int i = 0; i < count; ++i) add_entry("unreachable" + std::to_string(i), text_of(1));
+  for (int i = 0; i < count; ++i) add_entry("unreachable" + std::to_string(i), loopback_address_text(1));
 }
 
 // Makes connects hang: with a full listen queue, the SYN is dropped and sent again after a second.
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -76,7 +76,7 @@
     folder_ = folder;
     config_ = {{"name", "n0"},
                {"listen", host + ":" + std::to_string(port)},
-               {"discovery", text_of(registry_port)},
+               {"discovery", loopback_address_text(registry_port)},
                {"seed", "8c1f30d27a5be964"},
                {"limits", {{"sockets", 1024}}},
                {"known", {{"index", version}, {"snapshot", true}, {"endpoints", std::move(known)}}},
--- a/tests/support/sockets.h
+++ b/tests/support/sockets.h
@@ -28,18 +28,18 @@
   return ntohs(a.sin_port);
 }
 
-inline std::string text_of(int port) { return "127.0.0.1:" + std::to_string(port); }
+inline std::string loopback_address_text(int port) { return "127.0.0.1:" + std::to_string(port); }
 
 // Each test process has a part of the loopback net to itself, so that a port there is free whenever it is
 // bound: one found free may be taken by a test beside before the program has it.
-inline std::string own_address(int member, int port) {
+inline std::string process_address(int member, int port) {
   unsigned pid = static_cast<unsigned>(getpid());
   return "127." + std::to_string(10 + pid / 256 % 240) + "." + std::to_string(pid % 256) + "." +
          std::to_string(1 + member) + ":" + std::to_string(port);
 }
 
 // A socket bound to a free loopback port; type may carry SOCK_NONBLOCK.
-inline int bound(int type) {
+inline int bound_socket(int type) {
   int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
   sockaddr_in a = loopback();
   if (::bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) throw std::runtime_error("no free port");
@@ -47,7 +47,7 @@
 }
 
 // A client's connection to a port of this machine.
-inline int connected(int port) {
+inline int connected_socket(int port) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in to = loopback(port);
   timeval send_timeout{5, 0};  // a listen queue that is full lets nobody in
