--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "policy/slow_start/factor.h"
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 namespace marblehub::test {
 namespace {
--- a/tests/crossings/discovery_test.cpp
+++ b/tests/crossings/discovery_test.cpp
@@ -1,7 +1,7 @@
 // Calls to discovery as the module paces them, over many seeds.
 #include <catch2/catch.hpp>
 
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 using namespace marblehub::test;
 
--- a/tests/fleet/service/budget_test.cpp
+++ b/tests/fleet/service/budget_test.cpp
@@ -5,7 +5,7 @@
 
 #include "dispatcher_fixture.h"
 #include "node_network.h"
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 namespace marblehub::test {
 namespace {
--- a/tests/fleet/service/dispatcher_fixture.h
+++ b/tests/fleet/service/dispatcher_fixture.h
@@ -8,7 +8,7 @@
 
 #include "core/dispatcher.h"
 #include "metrics/registry.h"
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 namespace marblehub::test {
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 namespace marblehub::test {
 namespace {
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -1,7 +1,7 @@
 // Moves of connections away from draining and deleted workers, and probes that follow a high load.
 #include <catch2/catch.hpp>
 
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 namespace marblehub::test {
 
--- a/tests/placing_test.cpp
+++ b/tests/placing_test.cpp
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "net/lines.h"
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 namespace marblehub::test {
 namespace {
--- a/tests/settings/rules_test.cpp
+++ b/tests/settings/rules_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "drawn.h"
-#include "support/module_bench.h"
+#include "support/policy_fixture.h"
 
 using namespace marblehub::settings_play;
 using marblehub::test::PolicyFixture;
