--- a/bench/quic_forward.cpp
+++ b/bench/quic_forward.cpp
@@ -25,7 +25,7 @@
 
 // A loopback socket with large buffers.
 int socket_on_loopback() {
-  int fd = test::bound(SOCK_DGRAM);
+  int fd = test::bound_socket(SOCK_DGRAM);
   int large = 8 << 20;
   ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &large, sizeof large);
   ::setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &large, sizeof large);
@@ -126,7 +126,7 @@
              "of bare");
   for (std::size_t flows : sizes) {
     std::vector<int> sockets;
-    for (std::size_t i = 0; i < flows; ++i) sockets.push_back(test::bound(SOCK_DGRAM));
+    for (std::size_t i = 0; i < flows; ++i) sockets.push_back(test::bound_socket(SOCK_DGRAM));
     IdCodec codec({bench::ids()});
     std::vector<std::string> packets;
     for (std::size_t i = 0; i < flows; ++i)
--- a/conformance/testbed.cpp
+++ b/conformance/testbed.cpp
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-StubRegistry::StubRegistry() : fd_(test::bound(SOCK_STREAM | SOCK_NONBLOCK)), port_(test::port_of(fd_)) {
+StubRegistry::StubRegistry()
+    : fd_(test::bound_socket(SOCK_STREAM | SOCK_NONBLOCK)), port_(test::port_of(fd_)) {
   ::listen(fd_, 16);
 }
 
