--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// marblehub: wires the core, its fronts and its watchers together and runs them.
+// The marblehub program: connects the core with its fronts, the registry and the optional services, and runs
+// them.
 #include <algorithm>
 #include <csignal>
 #include <cstdlib>
@@ -26,31 +27,33 @@
 
 using core::Time;
 
-constexpr Time kPlanEvery = 1'000'000;
-constexpr Time kTick = 50'000;  // between two steps of a planned restart
-// To an agent that pushes lists; sends to a worker that leaves must end within 250 ms, watched or not.
-constexpr Time kAgentAgain = 50'000;
+constexpr Time kPlanInterval = 1'000'000;
+constexpr Time kRetireTick = 50'000;  // between two steps of a shutdown
+// Delay before a failed watch of a pushed list is repeated; sends to a leaving worker must stop within 250
+// ms.
+constexpr Time kAgentRetryDelay = 50'000;
 
-// Signals that have a watcher. Before it stands and after it has gone, each of them would end the process.
-const std::vector<int> kWatchedSignals = {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2};
+// Signals that are blocked while they have no watcher, since each of them would end the process by default.
+const std::vector<int> kHandledSignals = {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2};
 
-// The moments of a planned restart, counted from SIGTERM. SIGKILL comes no sooner than the longest deadline,
-// at most 3 s, and 0.7 s more.
+// The schedule of a shutdown, in microseconds from SIGTERM. SIGKILL follows no sooner than 0.7 s after the
+// longest deadline, which is at most 3 s.
 struct RestartPlan {
   explicit RestartPlan(Time longest_deadline)
-      : move_span(longest_deadline / 2),
-        all_asked_and_moved(still_coming + move_span),
-        last_moment(std::max(longest_deadline + 300'000, all_asked_and_moved)),
-        exit_by(longest_deadline + 500'000) {}
-
-  const Time still_coming = 450'000;  // new clients come for 0.4 s
-  const Time move_span;               // from then on standing clients are told to move, spread over so long
-  // From then on who has sent no whole line is let go, and who is set up is told to move at once.
-  const Time all_asked_and_moved;
-  const Time last_moment;  // every call is answered, and every client that stands is told to move
-  const Time exit_by;      // until then the exit waits for the last lines to be read
+      : move_period(longest_deadline / 2),
+        final_move_time(accept_period + move_period),
+        final_answer_time(std::max(longest_deadline + 300'000, final_move_time)),
+        exit_deadline(longest_deadline + 500'000) {}
+
+  const Time accept_period = 450'000;  // the front sends new clients for 0.4 s
+  const Time move_period;              // established clients are moved, spread over this time
+  // From then on clients without a request are closed, and newly established ones are moved at once.
+  const Time final_move_time;
+  const Time final_answer_time;  // remaining calls are answered and all clients moved
+  const Time exit_deadline;      // the exit waits at most until then for the last lines to be read
 };
 
+// All parts of the running program, and the handling of its signals.
 class Program {
  public:
   Program(std::string path, config::LoadedStartup loaded)
@@ -61,22 +64,22 @@
         descriptors_(startup_.sockets),
         probes_(loop_, startup_.settings.connect_timeout_us),
         registry_(loop_, startup_.registry, startup_.known),
-        agent_again_(loop_, [this] { registry_.watch_endpoints(); }),
+        agent_retry_timer_(loop_, [this] { registry_.watch_endpoints(); }),
         dispatcher_(startup_, loop_, probes_, registry_, metrics_),
         workers_(loop_, startup_.settings.connect_timeout_us, metrics_),
         listener_(loop_, dispatcher_, workers_, address(), descriptors_, metrics_),
         quic_(quic_front()),
         remote_write_(remote_writer()),
         rebalance_counters_(metrics_),
-        rebalance_(planner_of_moves()),
-        plan_tick_(loop_, [this] { plan_moves(); }),
-        retire_tick_(loop_, [this] { retire_step(); }),
+        rebalance_(rebalance_driver()),
+        plan_timer_(loop_, [this] { plan_moves(); }),
+        retire_timer_(loop_, [this] { retire_step(); }),
         fleet_(fleet_service()),
-        term_(loop_, SIGTERM, [this] { retire(); }),
-        interrupt_(loop_, SIGINT, [this] { retire(); }),
-        hangup_(loop_, SIGHUP, [this] { reload(); }),
-        print_(loop_, SIGUSR1, [this] { print(); }),
-        pause_(loop_, SIGUSR2, [this] { pause_moves(); }),
+        terminate_signal_(loop_, SIGTERM, [this] { retire(); }),
+        interrupt_signal_(loop_, SIGINT, [this] { retire(); }),
+        reload_signal_(loop_, SIGHUP, [this] { reload(); }),
+        print_signal_(loop_, SIGUSR1, [this] { print_metrics(); }),
+        pause_signal_(loop_, SIGUSR2, [this] { pause_moves(); }),
         reloads_(metrics_.counter("marblehub_reloads_total", "Reloads of the configuration, by their result",
                                   {{"result", "taken"}})),
         reloads_refused_(metrics_.counter("marblehub_reloads_total",
@@ -86,27 +89,27 @@
         [this](const std::string& worker, Time rtt, core::Outcome outcome, const core::LoadReport& report) {
           dispatcher_.probe_result(worker, rtt, outcome, report);
         });
-    registry_.on_news({[this](const config::WorkerList& list) { dispatcher_.list_received(list); },
-                       [this] { list_refused(); }});
+    registry_.set_handler({[this](const config::WorkerList& list) { dispatcher_.list_received(list); },
+                           [this] { on_list_failure(); }});
   }
 
   void run() {
     loop_.before_wait([this] { return step(); });
     log::threshold = log_level(startup_);
     log::info("{} listens on {}", startup_.name, startup_.listen);
-    net::SignalGate signals(kWatchedSignals);
-    if (rebalance_) plan_tick_.start(kPlanEvery);
+    net::UnblockedSignals signals(kHandledSignals);
+    if (rebalance_) plan_timer_.start(kPlanInterval);
     if (list_is_pushed()) registry_.watch_endpoints();
     loop_.run();
-    print();
+    print_metrics();
   }
 
  private:
-  // What is due. Returns how long nothing more is.
+  // Runs due work; returns the time until more is due.
   Time step() {
-    // After the process was held up, what has come meanwhile is read before anything is judged by its time.
-    read_first_ = !read_first_ && loop_.now() - dispatcher_.next_due() > net::kHeldUp;
-    if (read_first_) return 0;
+    // After a stall of the process, sockets are read before timeouts are acted on.
+    input_read_first_ = !input_read_first_ && loop_.now() - dispatcher_.next_due() > net::kStallThreshold;
+    if (input_read_first_) return 0;
     dispatcher_.advance();
     dispatcher_.free_ended();
     dispatcher_.before_wait();
@@ -114,19 +117,19 @@
   }
 
   sockaddr_in address() const {
-    return *net::parse_address(startup_.listen);  // checked when it was decoded
+    return *net::parse_address(startup_.listen);  // validated by the decoder
   }
 
-  // Where lists are pushed, the module asks for none: what the agent of this machine has counts as told, so a
-  // watch is held open all the time.
+  // Whether the agent on this machine pushes lists. The policy requests none then, and a watch is always kept
+  // open.
   bool list_is_pushed() const { return !startup_.settings.pull_endpoints; }
 
-  void list_refused() {
+  void on_list_failure() {
     dispatcher_.list_failed();
-    if (list_is_pushed()) agent_again_.start(kAgentAgain);
+    if (list_is_pushed()) agent_retry_timer_.start(kAgentRetryDelay);
   }
 
-  // A file that may be absent: then what it would turn on is off.
+  // Loads a file that may be absent, in which case the feature it configures is off.
   static std::optional<config::Options> optional_file(const std::string& path) {
     if (!std::filesystem::exists(path)) return std::nullopt;
     return config::load_options(path);
@@ -146,15 +149,16 @@
     return std::make_unique<metrics::RemoteWrite>(loop_, std::move(settings), metrics_);
   }
 
-  // The second front's file, checked against the list of workers; none where there is no file or it is off.
+  // The QUIC front's settings, checked against the list of workers; none if the file is absent or disables
+  // it.
   static std::optional<quic::QuicSettings> quic_settings(const config::Startup& startup) {
     auto options = optional_file(startup.quic_file);
     if (!options) return std::nullopt;
     auto settings =
         quic::quic_settings_from(*options, std::filesystem::path(startup.quic_file).parent_path());
     if (!settings.enabled) return std::nullopt;
-    for (const std::string& finding : quic::server_id_conflicts(settings, startup.known.names()))
-      throw config::DecodeError(startup.quic_file + ": " + finding);
+    for (const std::string& conflict : quic::server_id_conflicts(settings, startup.known.names()))
+      throw config::DecodeError(startup.quic_file + ": " + conflict);
     return settings;
   }
 
@@ -173,10 +177,10 @@
     return settings.enabled ? std::optional(std::move(settings)) : std::nullopt;
   }
 
-  std::unique_ptr<rebalance::Driver> planner_of_moves() {
+  std::unique_ptr<rebalance::Driver> rebalance_driver() {
     auto settings = rebalance_settings(startup_);
     if (!settings) return nullptr;
-    log::info("standing connections are {}", settings->dry_run ? "rebalanced in a dry run" : "rebalanced");
+    log::info("established connections are {}", settings->dry_run ? "rebalanced in a dry run" : "rebalanced");
     return std::make_unique<rebalance::Driver>(*settings, dispatcher_, startup_, rebalance_counters_);
   }
 
@@ -187,14 +191,14 @@
     return files.settings.enabled ? std::optional(std::move(files)) : std::nullopt;
   }
 
-  // What balancers keep together; none where its file is absent or it is off.
+  // The state shared among balancers; none if its file is absent or disables it.
   std::unique_ptr<fleet::FleetService> fleet_service() {
     auto files = fleet_files(startup_);
     if (!files) return nullptr;
-    auto made = std::make_unique<fleet::FleetService>(loop_, std::move(*files), startup_, metrics_,
-                                                      [this] { loop_.stop(); });
-    dispatcher_.set_gate(*made);
-    return made;
+    auto service = std::make_unique<fleet::FleetService>(loop_, std::move(*files), startup_, metrics_,
+                                                         [this] { loop_.stop(); });
+    dispatcher_.set_gate(*service);
+    return service;
   }
 
   void plan_moves() {
@@ -202,21 +206,21 @@
     std::error_code error;
     rebalance_->set_paused(paused_ || (!file.empty() && std::filesystem::exists(file, error)));
     if (retiring_since_ == 0) rebalance_->step();
-    plan_tick_.start(kPlanEvery);
+    plan_timer_.start(kPlanInterval);
   }
 
-  // SIGUSR2: paused, and on the next one resumed.
+  // SIGUSR2 pauses rebalancing; the next one resumes it.
   void pause_moves() {
     if (!rebalance_) return log::warning("rebalancing is off; there is nothing to pause");
     paused_ = !paused_;
     log::info("rebalancing: {} by signal", paused_ ? "paused" : "resumed");
   }
 
-  // SIGHUP. The file is taken whole or not at all, and no connection or call is touched.
+  // SIGHUP. The configuration is applied as a whole or not at all; connections and calls are not affected.
   void reload() {
     try {
       config::LoadedStartup loaded = config::load_startup(path_);
-      // All files are taken or none: what may be refused comes before anything is followed.
+      // Everything that may be rejected is checked before anything is applied.
       auto quic = quic_settings(loaded.startup);
       auto rebalance = rebalance_settings(loaded.startup);
       auto fleet = fleet_files(loaded.startup);
@@ -244,7 +248,7 @@
       } else if (fleet || fleet_) {
         log::warning("fleet: enabled has changed, which takes a restart to follow");
       }
-      registry_.follow(loaded.startup.registry);
+      registry_.change_address(loaded.startup.registry);
       descriptors_.set_limit(loaded.startup.sockets);
       log::threshold = level;
       reloads_.add();
@@ -255,87 +259,88 @@
     }
   }
 
-  void print() { std::cerr << metrics::exposition(metrics_) << std::flush; }
+  void print_metrics() { std::cerr << metrics::exposition(metrics_) << std::flush; }
 
   void retire() {
     if (retiring_since_ > 0) return;
     log::info("{} retires with {} connections", startup_.name, dispatcher_.established_count());
     if (fleet_) fleet_->return_wallets();
     retiring_since_ = loop_.now();
-    retire_tick_.start(kTick);
+    retire_timer_.start(kRetireTick);
   }
 
   void retire_step() {
     Time since = loop_.now() - retiring_since_;
-    if (since >= plan_.still_coming) take_no_more();
-    if (since >= plan_.all_asked_and_moved) {
-      listener_.turn_away_silent();
-      dispatcher_.retire(0);  // those that were set up since
+    if (since >= plan_.accept_period) stop_accepting();
+    if (since >= plan_.final_move_time) {
+      listener_.close_silent_clients();
+      dispatcher_.retire(0);  // those established since
     }
-    if (since >= plan_.last_moment) dispatcher_.end_all();
-    if (empty() && last_seen_empty_ == 0) {
-      last_seen_empty_ = since;
+    if (since >= plan_.final_answer_time) dispatcher_.end_all();
+    if (is_idle() && idle_since_ == 0) {
+      idle_since_ = since;
       if (fleet_) fleet_->leave();
     }
-    bool done = empty() && since - last_seen_empty_ > 2 * kTick && !loop_.awaits();
-    if (done || since >= plan_.exit_by) return loop_.stop();
-    retire_tick_.start(kTick);
+    bool done = is_idle() && since - idle_since_ > 2 * kRetireTick && !loop_.has_awaited();
+    if (done || since >= plan_.exit_deadline) return loop_.stop();
+    retire_timer_.start(kRetireTick);
   }
 
-  void take_no_more() {
+  void stop_accepting() {
     listener_.close();
-    if (moving_) return;
-    moving_ = true;
+    if (moves_started_) return;
+    moves_started_ = true;
     if (quic_) quic_->close();
-    dispatcher_.retire(plan_.move_span);
+    dispatcher_.retire(plan_.move_period);
   }
 
-  // Nobody is here any more, and nobody will come.
-  bool empty() const {
-    return listener_.closed() && listener_.not_asked_yet() == 0 && dispatcher_.established_count() == 0 &&
+  // Whether no client is left and none will be accepted.
+  bool is_idle() const {
+    return listener_.closed() && listener_.pending_requests() == 0 && dispatcher_.established_count() == 0 &&
            dispatcher_.unanswered() == 0;
   }
 
   const std::string path_;
   const config::Startup startup_;
-  const config::Values values_;  // of the file it was started with
+  const config::Values values_;  // of the configuration at start
   const RestartPlan plan_;
   metrics::Registry metrics_;
   net::Loop loop_;
   net::DescriptorBudget descriptors_;
   net::Probes probes_;
   net::RegistryWatch registry_;
-  net::TimerWatch agent_again_;
+  net::TimerWatch agent_retry_timer_;
   core::Dispatcher dispatcher_;
   net::WorkerSide workers_;
   net::Listener listener_;
-  std::unique_ptr<quic::Front> quic_;  // none unless its file enables it
+  std::unique_ptr<quic::Front> quic_;  // null unless its file enables it
   std::unique_ptr<metrics::RemoteWrite> remote_write_;
   rebalance::Counters rebalance_counters_;
-  std::unique_ptr<rebalance::Driver> rebalance_;  // none unless its file enables it
-  net::TimerWatch plan_tick_, retire_tick_;
-  std::unique_ptr<fleet::FleetService> fleet_;  // none unless its file enables it
-  net::SignalWatch term_, interrupt_, hangup_, print_, pause_;
+  std::unique_ptr<rebalance::Driver> rebalance_;  // null unless its file enables it
+  net::TimerWatch plan_timer_, retire_timer_;
+  std::unique_ptr<fleet::FleetService> fleet_;  // null unless its file enables it
+  net::SignalWatch terminate_signal_, interrupt_signal_, reload_signal_, print_signal_, pause_signal_;
   metrics::Metric &reloads_, &reloads_refused_;
-  Time retiring_since_ = 0, last_seen_empty_ = 0;
-  bool moving_ = false, paused_ = false, read_first_ = false;
+  Time retiring_since_ = 0, idle_since_ = 0;
+  bool moves_started_ = false, paused_ = false, input_read_first_ = false;
 };
 
 }  // namespace
 }  // namespace marblehub
 
 int main(int argc, char** argv) {
-  std::string_view word = argc > 1 ? argv[1] : "";
-  if (word == "--help" || argc > 2 || (argc == 2 && word.starts_with("-"))) {
+  std::string_view argument = argc > 1 ? argv[1] : "";
+  if (argument == "--help" || argc > 2 || (argc == 2 && argument.starts_with("-"))) {
     std::cerr
-        << "usage: marblehub [FILE]\n\nServes as FILE, or the file named by BALANCER_CONFIG, says. See\n"
-           "marblehub-config --help for how to write and check one. SIGUSR1 prints the counters; SIGTERM\n"
+        << "usage: marblehub [FILE]\n\nRuns with the configuration in FILE, or in the file named by "
+           "BALANCER_CONFIG.\n"
+           "See marblehub-config --help for how to write and check one. SIGUSR1 prints the metrics; SIGTERM\n"
            "moves all clients and exits; SIGHUP reloads the file; SIGUSR2 pauses and resumes rebalancing.\n";
-    return word == "--help" ? 0 : 2;
+    return argument == "--help" ? 0 : 2;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  // Until their watchers stand they wait, and one that comes while the program exits is never delivered.
-  marblehub::net::SignalGate::shut(marblehub::kWatchedSignals);
+  // Signals stay pending until their watchers exist, and are not delivered while the program exits.
+  marblehub::net::UnblockedSignals::block(marblehub::kHandledSignals);
   try {
     const char* path = argc > 1 ? argv[1] : std::getenv("BALANCER_CONFIG");
     if (!path) throw std::runtime_error("BALANCER_CONFIG is not set");
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 constexpr Time kAcceptPause = 50'000;
-constexpr int kAcceptAtOnce = 16;         // then others have their turn
-constexpr int kClientBuffer = 64 * 1024;  // the system's, for what a client sends faster than it is read
-// A client that has not asked by then is let go, whatever it sends meanwhile: 3 s are allowed.
+constexpr int kMaxAcceptsPerEvent = 16;        // then other watchers run
+constexpr int kReceiveBufferSize = 64 * 1024;  // SO_RCVBUF, for a client that sends faster than it is read
+// A client that has sent no request by then is closed, whatever it has sent. The protocol allows 3 s.
 constexpr Time kRequestTimeout = 2'000'000;
-constexpr std::int64_t kLongestWait = 3'600'000;  // milliseconds; a client says so with what is handed over
-constexpr int kPings = 8;                         // on one connection; a checker needs one
-// Clients that are looked at for one that gives way: as many as the loop takes from the system in one turn.
-constexpr std::size_t kLookedAt = 64;
+constexpr std::int64_t kMaxWaitMs = 3'600'000;  // bounds the wait that a client requests
+constexpr int kMaxPings = 8;                    // on one connection; a health checker needs one
+// Clients considered for eviction: as many as libev takes events from the system in one iteration.
+constexpr std::size_t kMaxEvictionCandidates = 64;
 
 }  // namespace
 
@@ -33,9 +33,10 @@
       descriptors_(descriptors),
       fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
       io_(loop, [this](int) { accept_some(); }),
-      pause_(loop, [this] { io_.start(fd_.get(), EV_READ); }),
+      pause_timer_(loop, [this] { io_.start(fd_.get(), EV_READ); }),
       accepted_(metrics.counter("marblehub_client_connections_total", "Client connections accepted")),
-      full_(metrics.counter("marblehub_accept_pauses_total", "Pauses of accepting for want of descriptors")),
+      accept_pauses_(
+          metrics.counter("marblehub_accept_pauses_total", "Pauses of accepting for want of descriptors")),
       malformed_(metrics.counter("marblehub_malformed_lines_total", "First lines that no client may send")),
       silent_(
           metrics.counter("marblehub_silent_clients_total", "Clients let go that had asked nothing in time")),
@@ -48,23 +49,23 @@
       bytes_out_(metrics.counter("marblehub_client_bytes_sent_total", "Bytes to clients")) {
   int on = 1;
   setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  setsockopt(fd_.get(), SOL_SOCKET, SO_RCVBUF, &kClientBuffer, sizeof kClientBuffer);
+  setsockopt(fd_.get(), SOL_SOCKET, SO_RCVBUF, &kReceiveBufferSize, sizeof kReceiveBufferSize);
   if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd_.get(), 1024) != 0)
     throw ListenError(errno);
-  io_.priority(-1);  // a crowd that connects must not hold up what is being served
+  io_.priority(-1);  // a burst of connects must not delay established calls
   io_.start(fd_.get(), EV_READ);
 }
 
 Listener::~Listener() { links_.clear(); }
 
 void Listener::accept_some() {
-  for (int taken = 0; taken < kAcceptAtOnce && fd_; ++taken)
+  for (int accepted = 0; accepted < kMaxAcceptsPerEvent && fd_; ++accepted)
     if (!accept_one()) return;
 }
 
 bool Listener::accept_one() {
-  if (!descriptors_.may_accept() && connection_pending() && !Stream::reclaim() && evict_one(0))
+  if (!descriptors_.may_accept() && connection_pending() && !Stream::reclaim() && evict_client(0))
     Stream::reclaim();
   if (!descriptors_.may_accept()) {
     pause();
@@ -73,208 +74,209 @@
   Fd fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!fd) {
     if (errno == EINTR || errno == ECONNABORTED) return true;
-    bool short_of = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    if (!short_of || !connection_pending()) return false;  // no descriptor is told before nobody waits
-    if (Stream::reclaim() || (evict_one(0) && Stream::reclaim())) return true;
+    bool out_of_resources = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+    if (!out_of_resources || !connection_pending())
+      return false;  // EMFILE is also reported while the queue is empty
+    if (Stream::reclaim() || (evict_client(0) && Stream::reclaim())) return true;
     pause();
     return false;
   }
   accepted_.add();
   links_.push_back(std::make_unique<ClientLink>(*this, loop_));
   ClientLink& link = *links_.back();
-  link.place_ = std::prev(links_.end());
-  link.asking_place_ = asking_.insert(asking_.end(), &link);
+  link.position_ = std::prev(links_.end());
+  link.awaiting_position_ = awaiting_request_.insert(awaiting_request_.end(), &link);
   link.start(std::move(fd));
   free_descriptors(1);
   return true;
 }
 
 bool Listener::connection_pending() const {
-  pollfd waiting{fd_.get(), POLLIN, 0};
-  return ::poll(&waiting, 1, 0) > 0;
+  pollfd listening{fd_.get(), POLLIN, 0};
+  return ::poll(&listening, 1, 0) > 0;
 }
 
-// Whoever has asked goes before those who only hold a descriptor, and of these the newest: a client that has
-// something to ask does so at once. On accepting, the newest of all stays: its first line may come a moment
-// after its connection, and nobody has come yet for whom it would have to give way. Those that give way
-// linger after their answer, as long as nothing else needs the descriptor.
-void Listener::free_descriptors(std::size_t staying) {
-  while (descriptors_.is_low() && evict_one(staying)) {
+// Evicts clients that have sent no request, the oldest first, until descriptors suffice. The `exempt` newest
+// clients stay: the first line of a client just accepted may follow shortly. Evicted clients linger after
+// their answer as long as nothing else needs the descriptor.
+void Listener::free_descriptors(std::size_t exempt) {
+  while (descriptors_.is_low() && evict_client(exempt)) {
   }
   while (descriptors_.exhausted() && Stream::reclaim()) {
   }
 }
 
-// The oldest that has sent nothing, and only then the oldest in the middle of its line. Not one of whom bytes
-// lie unread: it may have asked already, and a close over unread bytes resets the connection, its answer with
-// it. It is read in this turn.
-bool Listener::evict_one(std::size_t staying) {
-  ClientLink* chosen = nullptr;
-  std::size_t candidates = std::min(kLookedAt, asking_.size() - std::min(staying, asking_.size()));
-  for (auto at = asking_.begin(); candidates > 0; ++at, --candidates) {
+// Evicts the oldest client that has sent nothing, or else the oldest with an incomplete line. Clients with
+// unread input are skipped: it may hold their request, and closing over unread bytes would reset the
+// connection before the answer is read. They are read in this iteration.
+bool Listener::evict_client(std::size_t exempt) {
+  ClientLink* victim = nullptr;
+  std::size_t candidates =
+      std::min(kMaxEvictionCandidates, awaiting_request_.size() - std::min(exempt, awaiting_request_.size()));
+  for (auto at = awaiting_request_.begin(); candidates > 0; ++at, --candidates) {
     ClientLink& link = **at;
-    if (link.stream_->has_unread()) continue;
-    if (!chosen) chosen = &link;
-    if (!link.in_.empty()) continue;
-    chosen = &link;
+    if (link.stream_->has_unread_input()) continue;
+    if (!victim) victim = &link;
+    if (!link.input_.empty()) continue;
+    victim = &link;
     break;
   }
-  if (chosen) chosen->evict();
-  return chosen != nullptr;
+  if (victim) victim->evict();
+  return victim != nullptr;
 }
 
 // The socket stays readable while no descriptor is free: without a pause the loop would spin.
 void Listener::pause() {
-  full_.add();
+  accept_pauses_.add();
   io_.stop();
-  pause_.start(kAcceptPause);
+  pause_timer_.start(kAcceptPause);
 }
 
 void Listener::close() {
   if (!fd_) return;
   while (accept_one()) {
   }
-  if (pause_.active() && connection_pending()) return;  // no descriptor was free for the next one
-  pause_.stop();
+  if (pause_timer_.active() && connection_pending()) return;  // no descriptor was free for the next one
+  pause_timer_.stop();
   io_.stop();
   fd_.reset();
 }
 
-void Listener::turn_away_silent() {
-  // Links that end meanwhile are only released later: they live until the next wait.
-  const std::vector<ClientLink*> all(asking_.begin(), asking_.end());
-  for (ClientLink* link : all) link->ask_now_or_leave();
+void Listener::close_silent_clients() {
+  // Links that end in this loop are released before the next wait, so the pointers stay valid.
+  const std::vector<ClientLink*> all(awaiting_request_.begin(), awaiting_request_.end());
+  for (ClientLink* link : all) link->read_request_or_close();
 }
 
 void Listener::remove(ClientLink& link) {
-  auto place = link.place_;
-  loop_.defer_release(std::shared_ptr<ClientLink>(std::move(*place)));
-  links_.erase(place);
+  auto position = link.position_;
+  loop_.defer_release(std::shared_ptr<ClientLink>(std::move(*position)));
+  links_.erase(position);
 }
 
 ClientLink::ClientLink(Listener& listener, Loop& loop)
     : listener_(listener),
-      from_stream_(*this),
-      stream_(std::make_unique<Stream>(loop, from_stream_)),
-      request_timeout_(loop, [this] { never_asked(); }) {}
+      stream_handler_(*this),
+      stream_(std::make_unique<Stream>(loop, stream_handler_)),
+      request_timeout_(loop, [this] { on_request_timeout(); }) {}
 
 ClientLink::~ClientLink() = default;
 
-// What has come with the connection is read before others are taken in: one that has asked already must not
-// be taken for one that only holds a descriptor.
+// Reads the request that may have arrived with the connection before further clients are accepted, so that
+// the client is not evicted as idle.
 void ClientLink::start(Fd fd) {
   request_timeout_.start(kRequestTimeout);
   stream_->adopt(std::move(fd));
   stream_->read_now();
 }
 
-// ---- From the socket -------------------------------------------------------------------------------
+// ---- Events of the stream -----------------------------------------------------------------------
 
 void ClientLink::received(std::string_view bytes) {
   listener_.bytes_in_.add(static_cast<double>(bytes.size()));
-  if (standing_) return forward(bytes);
-  // After its first line a client waits. One that says more has not understood its server, or sends what is
-  // meant for several: a worker must never see it.
-  if (asked_) return malformed();
-  in_.append(bytes);
-  first_lines();
+  if (established_) return forward(bytes);
+  // A client must wait for the answer to its request. Further input is an error and must not reach a worker.
+  if (request_received_) return malformed();
+  input_.append(bytes);
+  read_request_lines();
 }
 
-void ClientLink::first_lines() {
+void ClientLink::read_request_lines() {
   for (;;) {
-    std::size_t end = in_.find('\n');
-    if (std::min(end, in_.size()) >= kMaxLineBytes) return malformed();
-    std::optional<std::string> line = take_line(in_);
+    std::size_t end = input_.find('\n');
+    if (std::min(end, input_.size()) >= kMaxLineBytes) return malformed();
+    std::optional<std::string> line = take_line(input_);
     if (!line) return;
-    if (*line != "PING") return ask(std::move(*line));
-    if (!ping()) return malformed();
+    if (*line != "PING") return handle_request(std::move(*line));
+    if (!answer_ping()) return malformed();
   }
 }
 
-// PINGs do not lengthen the time a client has to ask, and are not answered without end.
-bool ClientLink::ping() {
-  if (++pings_ > kPings) return false;
+// PINGs do not extend the request timeout, and their number is bounded.
+bool ClientLink::answer_ping() {
+  if (++pings_ > kMaxPings) return false;
   listener_.pings_.add();
-  say("PONG\r\n");
+  send_bytes("PONG\r\n");
   return true;
 }
 
-void ClientLink::ask(std::string line) {
+void ClientLink::handle_request(std::string line) {
   core::Dispatcher& dispatcher = listener_.dispatcher_;
   std::optional<Opening> opening = parse_opening(line);
   int request_class = opening ? dispatcher.class_index(opening->request_class) : -1;
-  if (request_class < 0 || !in_.empty()) return malformed();
+  if (request_class < 0 || !input_.empty()) return malformed();
   if (!opening->worker.empty() && !dispatcher.workers().count(std::string(opening->worker)))
     return malformed();
   std::string id(opening->id);
-  if (!listener_.open_ids_.insert(id).second) return malformed();  // another client's
+  if (!listener_.open_ids_.insert(id).second)
+    return malformed();  // the id belongs to another client's open call
   id_ = std::move(id);
-  stop_asking();
-  asked_ = true;
+  stop_awaiting_request();
+  request_received_ = true;
   listener_.free_descriptors(0);
   if (listener_.descriptors_.exhausted()) {
     listener_.rejected_for_descriptors_.add();
-    return say_and_close("BUSY\r\n");
+    return send_and_close("BUSY\r\n");
   }
-  log::debug("asked {}", line);  // the id and the key by which a client is followed over all balancers
+  log::debug("asked {}", line);  // id and key identify the client in the logs of all balancers
   core::Call call;
   call.request_class = request_class;
-  call.expires_in = std::min(opening->wait_ms, kLongestWait) * 1000;
+  call.expires_in = std::min(opening->wait_ms, kMaxWaitMs) * 1000;
   call.load_hint = opening->load_hint;
-  call.returned = opening->again;
+  call.returned = opening->returning;
   call.group = opening->group.empty() ? 0 : nonzero_name_hash(opening->group);
   call.handover_worker = opening->worker;
   call.tenant = field(line, "t").value_or("");
   call.area = opening->group;
   call.front_data = std::move(line);
   exchange_ = &dispatcher.accept_call(std::move(call), *this, listener_.workers_);
-  if (!stream_) exchange_ = nullptr;  // answered from within
+  if (!stream_) exchange_ = nullptr;  // the call was answered within accept_call
 }
 
 void ClientLink::malformed() {
   listener_.malformed_.add();
   if (exchange_) exchange_->client_left(CloseKind::aborted);
   exchange_ = nullptr;
-  say_and_close("ERR\r\n", Stream::turn_away);
+  send_and_close("ERR\r\n", Stream::finish_briefly);
 }
 
-// After a stall of the process the line may lie unread in the socket: timers come before sockets.
-void ClientLink::never_asked() {
+// After a stall of the process the request may lie unread in the socket.
+void ClientLink::on_request_timeout() {
   stream_->read_now();
-  if (!stream_ || asked_) return;
+  if (!stream_ || request_received_) return;
   listener_.silent_.add();
   end(Stream::drop);
 }
 
-void ClientLink::ask_now_or_leave() {
-  if (stream_ && !asked_) stream_->read_now();  // its line may lie unread in the socket
-  if (stream_ && !asked_) say_and_close("BUSY\r\n");
+void ClientLink::read_request_or_close() {
+  if (stream_ && !request_received_) stream_->read_now();  // the request may lie unread in the socket
+  if (stream_ && !request_received_) send_and_close("BUSY\r\n");
 }
 
 void ClientLink::evict() {
   listener_.evicted_.add();
-  say_and_close("BUSY\r\n", Stream::turn_away);
+  send_and_close("BUSY\r\n", Stream::finish_briefly);
 }
 
-void ClientLink::stop_asking() {
+void ClientLink::stop_awaiting_request() {
   request_timeout_.stop();
-  listener_.asking_.erase(asking_place_);
+  listener_.awaiting_request_.erase(awaiting_position_);
 }
 
 void ClientLink::forward(std::string_view bytes) {
   core::StreamChunk chunk{bytes, 0, true};
   for (std::string_view rest = bytes; !rest.empty();) {
-    LineTracker::Part part = lines_.next(rest);
-    chunk.messages += part.ended;
-    rest.remove_prefix(part.length);
+    LineTracker::Segment segment = line_tracker_.next(rest);
+    chunk.messages += segment.ended;
+    rest.remove_prefix(segment.length);
   }
-  chunk.at_boundary = lines_.between();
+  chunk.at_boundary = line_tracker_.at_line_start();
   if (exchange_) exchange_->client_sent(chunk);
 }
 
 void ClientLink::drained() {
-  if (exchange_ && full_told_) {
-    full_told_ = false;
+  if (exchange_ && blocked_reported_) {
+    blocked_reported_ = false;
     exchange_->client_blocked(false);
   }
 }
@@ -285,28 +287,28 @@
   close(ending);
 }
 
-// ---- From the exchange -----------------------------------------------------------------------------
+// ---- core::ClientSide, called by the exchange ---------------------------------------------------
 
 void ClientLink::established(std::string_view receipt) {
-  standing_ = true;
-  say(receipt);
+  established_ = true;
+  send_bytes(receipt);
 }
 
 void ClientLink::overload_reply(Time pause) {
   exchange_ = nullptr;
-  say_and_close(pause > 0 ? fmt::format("BUSY {}\r\n", (pause + 999) / 1000) : "BUSY\r\n");
+  send_and_close(pause > 0 ? fmt::format("BUSY {}\r\n", (pause + 999) / 1000) : "BUSY\r\n");
 }
 
-void ClientLink::failed(std::string_view words) {
+void ClientLink::failed(std::string_view reply) {
   exchange_ = nullptr;
-  say_and_close(words.empty() ? "ERR\r\n" : words);
+  send_and_close(reply.empty() ? "ERR\r\n" : reply);
 }
 
 void ClientLink::deliver(std::string_view bytes) {
   if (!stream_) return;
-  say(bytes);
-  if (stream_->backlog() > kMaxBacklogBytes && !full_told_ && exchange_) {
-    full_told_ = true;
+  send_bytes(bytes);
+  if (stream_->backlog() > kMaxBacklogBytes && !blocked_reported_ && exchange_) {
+    blocked_reported_ = true;
     exchange_->client_blocked(true);
   }
 }
@@ -315,11 +317,11 @@
   if (stream_) stream_->set_reading(!on);
 }
 
-// A worker that has stopped inside a line leaves the client there: MOVE stands on a line of its own.
+// Ends a line that the worker has left incomplete, so that MOVE is on a line of its own.
 void ClientLink::redirect() {
   exchange_ = nullptr;
-  std::string_view line_end = last_said_ == '\n' ? "" : last_said_ == '\r' ? "\n" : "\r\n";
-  say_and_close(std::string(line_end) + "MOVE\r\n");
+  std::string_view line_end = last_byte_sent_ == '\n' ? "" : last_byte_sent_ == '\r' ? "\n" : "\r\n";
+  send_and_close(std::string(line_end) + "MOVE\r\n");
 }
 
 void ClientLink::ended(CloseKind ending) {
@@ -327,31 +329,31 @@
   close(ending);
 }
 
-void ClientLink::say(std::string_view bytes) {
+void ClientLink::send_bytes(std::string_view bytes) {
   listener_.bytes_out_.add(static_cast<double>(bytes.size()));
-  last_said_ = bytes.back();
+  last_byte_sent_ = bytes.back();
   stream_->write(bytes);
 }
 
-void ClientLink::say_and_close(std::string_view line, void (*how)(std::unique_ptr<Stream>)) {
+void ClientLink::send_and_close(std::string_view line, void (*close_stream)(std::unique_ptr<Stream>)) {
   if (!stream_) return;
-  say(line);
-  end(how);
+  send_bytes(line);
+  end(close_stream);
 }
 
 void ClientLink::close(CloseKind ending) {
   end(ending == CloseKind::orderly ? Stream::finish : Stream::reset);
 }
 
-// The one place where a client's descriptor, its id and its place in the lists are given back.
-void ClientLink::end(void (*how)(std::unique_ptr<Stream>)) {
+// The only place that releases a client's descriptor, its id and its list entries.
+void ClientLink::end(void (*close_stream)(std::unique_ptr<Stream>)) {
   if (!stream_) return;
-  if (asked_) {
+  if (request_received_) {
     listener_.open_ids_.erase(id_);
   } else {
-    stop_asking();
+    stop_awaiting_request();
   }
-  how(std::move(stream_));
+  close_stream(std::move(stream_));
   listener_.remove(*this);
 }
 
--- a/src/net/client_side.h
+++ b/src/net/client_side.h
@@ -1,4 +1,4 @@
-// The platform's clients: the listener and one link for each client.
+/// Connections from clients: the listener and one link for each client.
 #pragma once
 
 #include <list>
@@ -25,6 +25,7 @@
       : std::system_error(error, std::generic_category(), "cannot listen on the address given") {}
 };
 
+/// Accepts clients, owns their links, and evicts clients without a request when descriptors run low.
 class Listener {
  public:
   /// Throws ListenError.
@@ -32,22 +33,23 @@
            DescriptorBudget& descriptors, metrics::Registry& metrics);
   ~Listener();
 
-  // Takes what has come, then no more. Stays open, to be closed again later, while someone waits to be
-  // accepted for whom no descriptor is free.
+  /// Accepts all pending connections, then closes. Stays open if there is no descriptor for a pending
+  /// connection; the caller tries again later.
   void close();
   bool closed() const { return !fd_; }
-  // Reads once more from those that have not asked yet; one that still has sent no whole line is answered
-  // BUSY.
-  void turn_away_silent();
-  std::size_t not_asked_yet() const { return asking_.size(); }
+  /// Reads once more from clients that have sent no request, and answers BUSY to those without a complete
+  /// line.
+  void close_silent_clients();
+  /// The number of clients that have sent no request yet.
+  std::size_t pending_requests() const { return awaiting_request_.size(); }
 
  private:
   friend class ClientLink;
   void accept_some();
   bool accept_one();
-  bool connection_pending() const;  // to be accepted
-  void free_descriptors(std::size_t staying);
-  bool evict_one(std::size_t staying);
+  bool connection_pending() const;  // in the listen queue
+  void free_descriptors(std::size_t exempt);
+  bool evict_client(std::size_t exempt);
   void pause();
   void remove(ClientLink& link);
 
@@ -57,24 +59,26 @@
   DescriptorBudget& descriptors_;
   Fd fd_;
   IoWatch io_;
-  TimerWatch pause_;
+  TimerWatch pause_timer_;
   std::list<std::unique_ptr<ClientLink>> links_;
-  std::list<ClientLink*> asking_;             // those that have not asked yet, the oldest first
-  std::unordered_set<std::string> open_ids_;  // of the calls that wait or stand
-  metrics::Metric &accepted_, &full_, &malformed_, &silent_, &evicted_, &rejected_for_descriptors_, &pings_,
-      &bytes_in_, &bytes_out_;
+  std::list<ClientLink*> awaiting_request_;   // clients without a request, the oldest first
+  std::unordered_set<std::string> open_ids_;  // of calls that are waiting or established
+  metrics::Metric &accepted_, &accept_pauses_, &malformed_, &silent_, &evicted_, &rejected_for_descriptors_,
+      &pings_, &bytes_in_, &bytes_out_;
 };
 
+/// One client's connection: parses its request, starts the call, and forwards bytes between client and
+/// exchange. Owned by the listener.
 class ClientLink final : public core::ClientSide {
  public:
   ClientLink(Listener& listener, Loop& loop);
   ~ClientLink() override;
-  void start(Fd fd);  // once it has its place in the listener's lists
+  void start(Fd fd);  ///< to be called once the link is in the listener's lists
 
   // From the exchange.
   void established(std::string_view receipt) override;
   void overload_reply(Time pause) override;
-  void failed(std::string_view words) override;
+  void failed(std::string_view reply) override;
   bool is_connected() const override { return stream_ && !stream_->peer_ended(); }
   void deliver(std::string_view bytes) override;
   void hold(bool on) override;
@@ -88,42 +92,42 @@
 
  private:
   friend class Listener;
-  // Stream::Handler and core::ClientSide both tell of an ending; the stream's comes through this.
-  struct FromStream final : Stream::Handler {
-    explicit FromStream(ClientLink& l) : link(l) {}
+  // Forwards the stream's events, since Stream::Handler and core::ClientSide both have a function `ended`.
+  struct StreamHandler final : Stream::Handler {
+    explicit StreamHandler(ClientLink& l) : link(l) {}
     void received(std::string_view bytes) override { link.received(bytes); }
     void drained() override { link.drained(); }
     void ended(CloseKind ending) override { link.ended_by_peer(ending); }
     ClientLink& link;
   };
 
-  void first_lines();
-  bool ping();
-  void ask(std::string line);
+  void read_request_lines();
+  bool answer_ping();
+  void handle_request(std::string line);
   void malformed();
-  void never_asked();
-  void ask_now_or_leave();
+  void on_request_timeout();
+  void read_request_or_close();
   void evict();
-  void stop_asking();
+  void stop_awaiting_request();
   void forward(std::string_view bytes);
-  void say(std::string_view bytes);
-  void say_and_close(std::string_view line, void (*how)(std::unique_ptr<Stream>) = Stream::finish);
+  void send_bytes(std::string_view bytes);
+  void send_and_close(std::string_view line, void (*close_stream)(std::unique_ptr<Stream>) = Stream::finish);
   void close(CloseKind ending);
-  void end(void (*how)(std::unique_ptr<Stream>));
+  void end(void (*close_stream)(std::unique_ptr<Stream>));
 
   Listener& listener_;
-  FromStream from_stream_;
+  StreamHandler stream_handler_;
   std::unique_ptr<Stream> stream_;
   core::Exchange* exchange_ = nullptr;
-  bool asked_ = false, standing_ = false, full_told_ = false;
-  char last_said_ = '\n';  // the last byte passed on to the client
-  std::string in_;         // what has come and is not passed on yet
-  LineTracker lines_;
-  TimerWatch request_timeout_;  // runs until the client has asked, from when it connected
+  bool request_received_ = false, established_ = false, blocked_reported_ = false;
+  char last_byte_sent_ = '\n';
+  std::string input_;  // received, but not yet a complete line
+  LineTracker line_tracker_;
+  TimerWatch request_timeout_;  // runs from the connect to the request
   int pings_ = 0;
-  std::string id_;  // once it has asked
-  std::list<std::unique_ptr<ClientLink>>::iterator place_;
-  std::list<ClientLink*>::iterator asking_place_;
+  std::string id_;  // from the request on
+  std::list<std::unique_ptr<ClientLink>>::iterator position_;
+  std::list<ClientLink*>::iterator awaiting_position_;
 };
 
 }  // namespace marblehub::net
--- a/src/net/descriptor_budget.h
+++ b/src/net/descriptor_budget.h
@@ -1,5 +1,5 @@
-// How many descriptors the program may still open. The platform allows so many; clients that only hold one,
-// or that send what cannot be read, must never take those that calls, probes and the registry need.
+/// The program's file descriptor limit, with reserves so that idle or misbehaving clients cannot use up the
+/// descriptors that calls, probes and the registry need.
 #pragma once
 
 #include <cstddef>
@@ -9,30 +9,30 @@
 
 namespace marblehub::net {
 
-// Kept for a client that is only told BUSY or PONG: while calls hold all others, those that come would have
-// no answer at all, and the front would take this balancer for dead.
-constexpr std::size_t kAnswerReserve = 1;
-// The registry has one connection beside that. Without it a drain would not be heard of, however many calls
-// are served.
-constexpr std::size_t kRegistryReserve = kAnswerReserve + 1;
+/// Descriptors kept for accepting clients that only get BUSY or PONG. Without this reserve the front would
+/// get no answer while calls use all other descriptors, and would consider this balancer dead.
+constexpr std::size_t kReplyReserve = 1;
+/// One more for the connection to the registry, so that drains are reported however many calls are open.
+constexpr std::size_t kRegistryReserve = kReplyReserve + 1;
 
+/// Applies the configured descriptor limit to Fd and answers what may still be opened.
 class DescriptorBudget {
  public:
   explicit DescriptorBudget(std::int64_t limit);
-  // From the configuration, at start and on reload. What the system allows is a bound as well.
-  void set_limit(std::int64_t most);
+  /// Sets the configured limit, at start and on reload; the system's RLIMIT_NOFILE is a bound as well.
+  void set_limit(std::int64_t max_open);
 
-  bool exhausted() const { return Fd::left() == 0; }
-  bool may_accept() const { return Fd::left(kAnswerReserve) > 0; }
-  // The last eighth is kept for those who have asked: whoever has not asked yet gives way.
-  // Connections that only linger after their end do not count: they are closed when a descriptor is needed.
+  bool exhausted() const { return Fd::available() == 0; }
+  bool may_accept() const { return Fd::available(kReplyReserve) > 0; }
+  /// Whether at most an eighth of the limit is left; clients that have sent no request are then evicted.
+  /// Lingering connections count as free, since they are closed when a descriptor is needed.
   bool is_low() const;
-  // Whether there is a descriptor for one more, with a spare connection closed for it if need be.
+  /// Whether one more descriptor may be opened; closes a reclaimable connection if necessary.
   bool make_one_available();
 
  private:
   std::size_t limit_ = 0;
-  const std::size_t own_;  // open since before the first socket, and the loop's
+  const std::size_t reserved_;  // descriptors outside Fd's count, and the reserves
 };
 
 }  // namespace marblehub::net
--- a/src/net/lines.cpp
+++ b/src/net/lines.cpp
@@ -8,10 +8,10 @@
 namespace marblehub::net {
 namespace {
 
-constexpr std::size_t kHead = 64;
-constexpr std::size_t kLongestToken = 128;  // of an id or a key
+constexpr std::size_t kMaxPrefixBytes = 64;   // of a forwarded line, kept by LineTracker
+constexpr std::size_t kMaxTokenLength = 128;  // of an id or a key
 
-// Begin and length of the value of name=value; fields are set apart by commas, and by spaces from the rest.
+// Start and length of the value of name=value in the line's last word, whose fields are separated by commas.
 std::optional<std::pair<std::size_t, std::size_t>> find_field(std::string_view line, std::string_view name) {
   std::size_t at = line.rfind(' ');
   if (at == std::string_view::npos) return std::nullopt;
@@ -59,12 +59,12 @@
 std::optional<Opening> parse_opening(std::string_view line) {
   auto cut = [](std::string_view& rest, char at) {
     std::size_t end = std::min(rest.find(at), rest.size());
-    std::string_view part = rest.substr(0, end);
+    std::string_view segment = rest.substr(0, end);
     rest.remove_prefix(std::min(end + 1, rest.size()));
-    return part;
+    return segment;
   };
   auto token = [](std::string_view text) {
-    return !text.empty() && text.size() <= kLongestToken &&
+    return !text.empty() && text.size() <= kMaxTokenLength &&
            text.find_first_of("=,") == std::string_view::npos;
   };
   if (!std::all_of(line.begin(), line.end(), [](char c) { return c >= ' ' && c <= '~'; }))
@@ -79,14 +79,13 @@
     more = line.find(',') != std::string_view::npos;
     std::string_view value = cut(line, ','), name = cut(value, '=');
     if (name.empty() || !seen.insert(name).second)
-      return std::nullopt;  // of two, a worker may heed the other
+      return std::nullopt;  // a worker may use the other one of two
     if (name == "c") opening.request_class = value;
     if (name == "g") opening.group = value;
     if (name == "at") opening.worker = value;
-    if (name == "again") opening.again = value == "1";
+    if (name == "again") opening.returning = value == "1";
     if (name == "d") {
-      auto wait =
-          config::parse_number<std::int64_t>(value);  // neither nan, inf nor more than a time can hold
+      auto wait = config::parse_number<std::int64_t>(value);  // rejects nan, inf and overflow
       if (!wait || *wait < 0) return std::nullopt;
       opening.wait_ms = *wait;
     }
@@ -96,35 +95,36 @@
       opening.load_hint = *load;
     }
   }
-  bool whole =
+  bool complete =
       seen.count("c") && (seen.count("d") || seen.count("at")) && seen.count("at") == !opening.worker.empty();
-  return whole ? std::optional(opening) : std::nullopt;
+  return complete ? std::optional(opening) : std::nullopt;
 }
 
 std::uint64_t nonzero_name_hash(std::string_view name) { return marblehub::policy::name_hash(name) | 1; }
 
 core::LoadReport parse_load_report(std::string_view line) {
   core::LoadReport report;
-  auto figure = [&](std::string_view name) -> double {
+  auto number = [&](std::string_view name) -> double {
     auto text = field(line, name);
     auto value = text ? config::parse_number<double>(*text) : std::nullopt;
     return value && *value >= 0 ? *value : -1;
   };
-  report.load = figure("x0");
-  if (report.load < 0) report.load = figure("util");
-  if (report.load < 0) report.load = figure("cpu");
+  report.load = number("x0");
+  if (report.load < 0) report.load = number("util");
+  if (report.load < 0) report.load = number("cpu");
   return report;
 }
 
-LineTracker::Part LineTracker::next(std::string_view bytes) {
+LineTracker::Segment LineTracker::next(std::string_view bytes) {
   std::size_t end = bytes.find('\n');
   bool ended = end != std::string_view::npos;
   std::size_t length = ended ? end + 1 : bytes.size();
-  if (head_.size() < kHead) head_.append(bytes.substr(0, std::min(length, kHead - head_.size())));
-  length_ += length;
+  if (prefix_.size() < kMaxPrefixBytes)
+    prefix_.append(bytes.substr(0, std::min(length, kMaxPrefixBytes - prefix_.size())));
+  line_length_ += length;
   if (ended) {
-    last_ = std::exchange(head_, {});
-    length_ = 0;
+    last_line_ = std::exchange(prefix_, {});
+    line_length_ = 0;
   }
   return {length, ended};
 }
--- a/src/net/lines.h
+++ b/src/net/lines.h
@@ -1,4 +1,4 @@
-// The platform's protocol: lines that end with CRLF, at most 4 KiB long.
+/// Parsing of the platform's protocol: lines that end with CRLF, at most 4 KiB long.
 #pragma once
 
 #include <cstdint>
@@ -10,56 +10,56 @@
 
 namespace marblehub::net {
 
-constexpr std::size_t kMaxLineBytes = 4096;  // with its CRLF
+constexpr std::size_t kMaxLineBytes = 4096;  // including CRLF
 
-// Takes the next whole line out of a buffer, without its end; none if no line is whole yet.
+/// Removes the next complete line from the buffer and returns it without its line end; none if there is none.
 std::optional<std::string> take_line(std::string& buffer);
 
-std::string_view without_line_end(std::string_view line);  // without CRLF or LF
-std::string_view verb_of(std::string_view line);
+std::string_view without_line_end(std::string_view line);  ///< without CRLF or LF
+std::string_view verb_of(std::string_view line);           ///< the first word of a line
 
-// The value of `name` in "VERB id key a=1,b=2" or "PONG a=1,b=2"; none if it is not there.
+/// The value of `name` in "VERB id key a=1,b=2" or "PONG a=1,b=2"; none if it is absent.
 std::optional<std::string_view> field(std::string_view line, std::string_view name);
 
-// The line with the value of `name` replaced; unchanged where it has none.
+/// The line with the value of `name` replaced; unchanged if it has no such field.
 std::string with_field(std::string_view line, std::string_view name, std::string_view value);
 
-// A client's first line: OPEN id key fields. Views into the line.
+/// A client's request line, "OPEN id key fields". The members are views into that line.
 struct Opening {
   std::string_view id, request_class;
-  std::int64_t wait_ms = 0;
-  double load_hint = 0;     // 0: none given
-  std::string_view group;   // the client, or the group it belongs to; empty: none
-  bool again = false;       // it comes back after a break or a move
-  std::string_view worker;  // that holds it since before the start; else empty
+  std::int64_t wait_ms = 0;  // how long the client waits for an answer
+  double load_hint = 0;      // 0: none given
+  std::string_view group;    // the client or its group; empty: none
+  bool returning = false;    // the client reconnects after a lost connection or a move
+  std::string_view worker;   // the worker that held the call before this process started; else empty
 };
 
-// None where the line is not as workers accept it, whatever it may have been meant to say: such a line must
-// never reach one.
+/// Parses a request line; none if workers would not accept it. Such a line must never be sent to a worker.
 std::optional<Opening> parse_opening(std::string_view line);
 
-// A number that stands for a name: the same at every balancer, and never 0.
+/// A hash of a name: the same at every balancer, and never 0.
 std::uint64_t nonzero_name_hash(std::string_view name);
 
-// The load at the end of an answer, in the registry's field names.
+/// The load fields at the end of a worker's answer; a load of -1 if there are none.
 core::LoadReport parse_load_report(std::string_view line);
 
-// Follows the lines of a stream that passes through, however it is cut into pieces.
+/// Finds the line ends in a forwarded byte stream, however it is split into chunks.
 class LineTracker {
  public:
-  // What up to and including the next line end (or all of `bytes`) is: its length, and whether a line ended.
-  struct Part {
+  /// The bytes up to and including the next line end, or all bytes if there is none.
+  struct Segment {
     std::size_t length;
     bool ended;
   };
-  Part next(std::string_view bytes);
-  bool between() const { return length_ == 0; }
-  // The beginning of the line that has just ended: enough for its verb and a figure.
-  const std::string& last() const { return last_; }
+  /// Consumes the next segment of `bytes`; the caller removes its length from the front.
+  Segment next(std::string_view bytes);
+  bool at_line_start() const { return line_length_ == 0; }  ///< whether no line is incomplete
+  /// The start of the most recently completed line, long enough for its verb and a number.
+  const std::string& last_line() const { return last_line_; }
 
  private:
-  std::string head_, last_;
-  std::size_t length_ = 0;
+  std::string prefix_, last_line_;
+  std::size_t line_length_ = 0;
 };
 
 }  // namespace marblehub::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,7 +11,7 @@
 namespace marblehub::net {
 namespace {
 
-void mask(int how, const std::vector<int>& numbers) {
+void change_signal_mask(int how, const std::vector<int>& numbers) {
   sigset_t signals;
   sigemptyset(&signals);
   for (int number : numbers) sigaddset(&signals, number);
@@ -40,7 +40,7 @@
 }
 
 Loop::Loop() : loop_(ev_default_loop(EVFLAG_AUTO)) {
-  if (!loop_) throw std::runtime_error("no event loop can be made here");
+  if (!loop_) throw std::runtime_error("cannot create an event loop");
   using namespace std::chrono;
   offset_ = duration_cast<microseconds>(system_clock::now().time_since_epoch()).count() - steady();
   ev_prepare_init(&prepare_, prepare);
@@ -52,7 +52,7 @@
 Loop::~Loop() {
   ev_prepare_stop(loop_, &prepare_);
   ev_timer_stop(loop_, &wake_);
-  kept_.clear();
+  owned_.clear();
   while (!deferred_.empty()) std::exchange(deferred_, {}).clear();
   ev_loop_destroy(loop_);
 }
@@ -61,16 +61,16 @@
 
 void Loop::keep(std::shared_ptr<void> object, bool awaited) {
   void* key = object.get();
-  kept_.emplace(key, Kept{std::move(object), awaited});
+  owned_.emplace(key, Owned{std::move(object), awaited});
   awaited_ += awaited;
 }
 
 void Loop::release(void* object) {
-  auto it = kept_.find(object);
-  if (it == kept_.end()) return;
+  auto it = owned_.find(object);
+  if (it == owned_.end()) return;
   awaited_ -= it->second.awaited;
   defer_release(std::move(it->second.object));
-  kept_.erase(it);
+  owned_.erase(it);
 }
 
 void Loop::run() { ev_run(loop_, 0); }
@@ -87,10 +87,10 @@
   ev_timer_start(loop, &self.wake_);
 }
 
-SignalGate::SignalGate(std::vector<int> numbers) : numbers_(std::move(numbers)) {
-  mask(SIG_UNBLOCK, numbers_);
+UnblockedSignals::UnblockedSignals(std::vector<int> numbers) : signals_(std::move(numbers)) {
+  change_signal_mask(SIG_UNBLOCK, signals_);
 }
-void SignalGate::shut(const std::vector<int>& numbers) { mask(SIG_BLOCK, numbers); }
+void UnblockedSignals::block(const std::vector<int>& numbers) { change_signal_mask(SIG_BLOCK, numbers); }
 
 void IoWatch::start(int fd, int events) {
   stop();
@@ -99,19 +99,19 @@
   ev_io_start(loop_.raw(), &watcher_);
 }
 
-// A wait that was interrupted has found no socket ready: one further turn reads what has come before the
-// time-out is judged.
+// After a stall the timer is postponed once, so that one further iteration reads the sockets before the
+// timeout is acted on.
 void TimerWatch::due() {
-  put_off_ = !put_off_ && loop_.now() - due_at_ > kHeldUp;
-  if (!put_off_) return call_();
+  postponed_ = !postponed_ && loop_.now() - due_time_ > kStallThreshold;
+  if (!postponed_) return call_();
   ev_timer_set(&watcher_, 0, 0);
   ev_timer_start(loop_.raw(), &watcher_);
 }
 
 void TimerWatch::start(Time after) {
   stop();
-  put_off_ = false;
-  due_at_ = loop_.now() + std::max<Time>(0, after);
+  postponed_ = false;
+  due_time_ = loop_.now() + std::max<Time>(0, after);
   ev_now_update(loop_.raw());
   ev_timer_set(&watcher_, static_cast<double>(std::max<Time>(0, after)) / 1e6, 0);
   ev_timer_start(loop_.raw(), &watcher_);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// libev under RAII: the loop, its watchers, and descriptors. A watcher stops when it goes.
+/// RAII wrappers for libev: the event loop, its watchers, and file descriptors.
 #pragma once
 
 #include <ev.h>
@@ -15,10 +15,13 @@
 
 using core::Time;
 
-// A timer that is called later than this was held up together with the whole process: the wait itself is late
-// by up to 2 ms, as epoll counts in milliseconds. What has come meanwhile is then read first.
-constexpr Time kHeldUp = 5'000;
+/// A timer that fires later than this, in microseconds, indicates that the whole process was stalled: sockets
+/// are then read before the timeout is acted on. Above the usual lateness of up to 2 ms, as epoll counts in
+/// milliseconds.
+constexpr Time kStallThreshold = 5'000;
 
+/// Owns a file descriptor and closes it on destruction. Counts all descriptors owned this way against a
+/// limit.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) { in_use_ += fd >= 0; }
@@ -28,19 +31,21 @@
   void reset();
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  static std::size_t in_use() { return in_use_; }  // by all that there are
-  // How many there may be at once; `reserve` are kept beside them for one that nothing else may go without.
-  static void allow(std::size_t most) { most_ = most; }
-  static std::size_t left(std::size_t reserve = 0) {
-    return in_use_ < most_ + reserve ? most_ + reserve - in_use_ : 0;
+  static std::size_t in_use() { return in_use_; }  ///< open descriptors of all instances
+  /// Sets how many descriptors may be open at once. Opening one does not check the limit; callers ask first.
+  static void set_max_open(std::size_t max_open) { max_open_ = max_open; }
+  /// How many more may be opened, with `reserve` added to the limit for callers that may use reserved ones.
+  static std::size_t available(std::size_t reserve = 0) {
+    return in_use_ < max_open_ + reserve ? max_open_ + reserve - in_use_ : 0;
   }
 
  private:
   int fd_;
-  static inline std::size_t in_use_ = 0, most_ = SIZE_MAX / 2;  // until a limit is known
+  static inline std::size_t in_use_ = 0, max_open_ = SIZE_MAX / 2;  // until a limit is known
 };
 
-// The loop is also the clock: the system's time at start, carried on by the steady clock.
+/// The event loop of the process. It is also the clock: the system time at construction, advanced by the
+/// steady clock, in microseconds. Throws std::runtime_error if no loop can be created.
 class Loop final : public core::Clock {
  public:
   Loop();
@@ -50,15 +55,15 @@
   Time now() const override;
   void run();
   void stop();
-  // Called before each wait; returns how long the loop may sleep.
+  /// Sets a function that is called before each wait and returns how long the loop may sleep.
   void before_wait(std::function<Time()> hook) { hook_ = std::move(hook); }
-  // Keeps an object until no callback of it can be running: it is freed before the next wait.
+  /// Keeps an object until none of its callbacks can be running: it is freed before the next wait.
   void defer_release(std::shared_ptr<void> object) { deferred_.push_back(std::move(object)); }
-  // Owns an object that finishes by itself, until release. Whatever has not by the end goes with the loop;
-  // the program's exit waits, for a bounded time, for those that are `awaited`.
+  /// Owns an object until `release`, which the object calls when it is done. Objects left are freed with the
+  /// loop. The program's exit waits, for a bounded time, for those with `awaited` set.
   void keep(std::shared_ptr<void> object, bool awaited);
   void release(void* object);
-  bool awaits() const { return awaited_ > 0; }
+  bool has_awaited() const { return awaited_ > 0; }
   struct ev_loop* raw() {
     return loop_;
   }
@@ -72,15 +77,16 @@
   Time offset_ = 0;
   std::function<Time()> hook_;
   std::vector<std::shared_ptr<void>> deferred_;
-  struct Kept {
+  // An object passed to keep().
+  struct Owned {
     std::shared_ptr<void> object;
     bool awaited;
   };
-  std::map<void*, Kept> kept_;
-  std::size_t awaited_ = 0;  // of those kept
+  std::map<void*, Owned> owned_;
+  std::size_t awaited_ = 0;  // number of owned objects that the exit waits for
 };
 
-// One watcher of libev with a function to call. W is ev_io, ev_timer or ev_signal.
+/// Calls a function with the ready events of a descriptor. Stops on destruction.
 class IoWatch {
  public:
   IoWatch(Loop& loop, std::function<void(int)> call) : loop_(loop), call_(std::move(call)) {
@@ -91,7 +97,8 @@
   ~IoWatch() { stop(); }
   IoWatch(const IoWatch&) = delete;
   void start(int fd, int events);
-  // Before start. Of what is ready at once, watchers of a higher priority are called first; 0 is the usual.
+  /// To be called before start. Of the watchers ready in one iteration, higher priorities run first; default
+  /// 0.
   void priority(int level) { ev_set_priority(&watcher_, level); }
   void stop() { ev_io_stop(loop_.raw(), &watcher_); }
   void feed(int events) { ev_feed_event(loop_.raw(), &watcher_, events); }
@@ -102,11 +109,12 @@
   ev_io watcher_;
 };
 
+/// Calls a function once after a delay in microseconds. Stops on destruction.
 class TimerWatch {
  public:
   TimerWatch(Loop& loop, std::function<void()> call) : loop_(loop), call_(std::move(call)) {
     ev_init(&watcher_, [](struct ev_loop*, ev_timer* w, int) { static_cast<TimerWatch*>(w->data)->due(); });
-    ev_set_priority(&watcher_, EV_MINPRI);  // after the sockets that are ready in the same turn
+    ev_set_priority(&watcher_, EV_MINPRI);  // after sockets ready in the same iteration
     watcher_.data = this;
   }
   ~TimerWatch() { stop(); }
@@ -121,22 +129,23 @@
   Loop& loop_;
   std::function<void()> call_;
   ev_timer watcher_;
-  Time due_at_ = 0;
-  bool put_off_ = false;
+  Time due_time_ = 0;
+  bool postponed_ = false;  // by one iteration, after a stall of the process
 };
 
-// Lets signals that were shut out through while it lives.
-class SignalGate {
+/// Unblocks the given signals while it exists, and blocks them again on destruction.
+class UnblockedSignals {
  public:
-  explicit SignalGate(std::vector<int> numbers);
-  ~SignalGate() { shut(numbers_); }
-  SignalGate(const SignalGate&) = delete;
-  static void shut(const std::vector<int>& numbers);  // they wait from then on
+  explicit UnblockedSignals(std::vector<int> numbers);
+  ~UnblockedSignals() { block(signals_); }
+  UnblockedSignals(const UnblockedSignals&) = delete;
+  static void block(const std::vector<int>& numbers);  ///< blocked signals stay pending
 
  private:
-  const std::vector<int> numbers_;
+  const std::vector<int> signals_;
 };
 
+/// Calls a function from the loop when a signal has arrived. Active from construction to destruction.
 class SignalWatch {
  public:
   SignalWatch(Loop& loop, int number, std::function<void()> call) : loop_(loop), call_(std::move(call)) {
--- a/src/net/registry_watch.cpp
+++ b/src/net/registry_watch.cpp
@@ -8,26 +8,26 @@
 namespace marblehub::net {
 namespace {
 
-// News counts as told 2 s after a watch's wait is over at the latest: a short wait finds a silent registry
-// soon. The module asks again up to 1.25 s after a failed call, and the answer takes its time too.
-constexpr Time kHold = 8'000'000;
-constexpr Time kWatchTimeout = kHold + 600'000;
-// What a silent registry has to tell counts as told 6 s after it fell silent. By then the call that is out
-// has been given up, the module's pause of up to 1.25 s is over, and the next call is answered.
-constexpr Time kCallTimeout = 3'000'000;  // of a call that need not wait: the registry fails later ones too
-constexpr Time kConnectTimeout = 1'200'000;  // the system sends a lost SYN again after 1 s
+// Changes must be applied at most 2 s after the hold time of a watch. A short hold time detects a silent
+// registry soon; the policy retries up to 1.25 s after a failed call.
+constexpr Time kWatchHold = 8'000'000;
+constexpr Time kWatchTimeout = kWatchHold + 600'000;
+// Changes must be applied at most 6 s after the registry fell silent. By then the pending call has timed out,
+// the policy's pause of up to 1.25 s is over, and the next call is answered.
+constexpr Time kCallTimeout = 3'000'000;     // of a call without a hold time
+constexpr Time kConnectTimeout = 1'200'000;  // the system retransmits a lost SYN after 1 s
 constexpr Time kAnswerTimeout = 2'000'000;   // from the first byte of an answer to its last
-constexpr int kReadsAtOnce = 64;             // if bytes never cease
-constexpr std::int64_t kNoVersion = -1;      // the first version of a list may well be 0
-constexpr std::size_t kLongestBody = 8 * 1024 * 1024;
+constexpr int kMaxReads = 64;                // bounds read_now while bytes keep arriving
+constexpr std::int64_t kNoVersion = -1;      // the first version of a list may be 0
+constexpr std::size_t kMaxBodyBytes = 8 * 1024 * 1024;
 
 const http_parser_settings& callbacks() {
-  static const http_parser_settings made = [] {
+  static const http_parser_settings parser_settings = [] {
     http_parser_settings s;
     http_parser_settings_init(&s);
     s.on_body = [](http_parser* p, const char* at, std::size_t size) {
       auto& body = *static_cast<std::string*>(p->data);
-      if (body.size() + size > kLongestBody) return 1;
+      if (body.size() + size > kMaxBodyBytes) return 1;
       body.append(at, size);
       return 0;
     };
@@ -37,7 +37,7 @@
     };
     return s;
   }();
-  return made;
+  return parser_settings;
 }
 
 }  // namespace
@@ -45,73 +45,73 @@
 RegistryWatch::RegistryWatch(Loop& loop, std::string address, const config::WorkerList& known)
     : loop_(loop),
       address_(std::move(address)),
-      index_(known.workers.empty() ? kNoVersion : known.index),
-      call_timeout_(loop, [this] { out_of_time(); }),
-      next_(loop, [this] { call(); }) {}
+      version_(known.workers.empty() ? kNoVersion : known.index),
+      call_timer_(loop, [this] { on_call_timeout(); }),
+      next_call_timer_(loop, [this] { send_request(); }) {}
 
 RegistryWatch::~RegistryWatch() { close(); }
 
 void RegistryWatch::close() {
   closed_ = true;  // no further call
-  next_.stop();
-  drop_call();
+  next_call_timer_.stop();
+  abandon_call();
 }
 
-void RegistryWatch::drop_call() {
-  out_ = sent_ = answering_ = false;
-  call_timeout_.stop();
+void RegistryWatch::abandon_call() {
+  call_pending_ = request_sent_ = response_started_ = false;
+  call_timer_.stop();
   Stream::reset(std::move(stream_));
 }
 
-void RegistryWatch::follow(std::string address) {
+void RegistryWatch::change_address(std::string address) {
   if (closed_ || address == address_) return;
   address_ = std::move(address);
-  index_ = kNoVersion;
-  asked_anew_ = false;
-  drop_call();
-  first_ = true;
-  next_.start(0);
+  version_ = kNoVersion;
+  full_list_requested_ = false;
+  abandon_call();
+  awaiting_first_answer_ = true;
+  next_call_timer_.start(0);
 }
 
 void RegistryWatch::watch_endpoints() {
-  if (closed_ || out_ || next_.active()) return;  // one call out at a time
-  first_ = true;
-  next_.start(0);
+  if (closed_ || call_pending_ || next_call_timer_.active()) return;  // a call is pending or scheduled
+  awaiting_first_answer_ = true;
+  next_call_timer_.start(0);
 }
 
-void RegistryWatch::call() {
-  if (closed_ || out_) return;
-  out_ = true;
-  log::debug("registry call from version {}", index_);
+void RegistryWatch::send_request() {
+  if (closed_ || call_pending_) return;
+  call_pending_ = true;
+  log::debug("registry call from version {}", version_);
   body_.clear();
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = &body_;
-  call_timeout_.start(kConnectTimeout);
+  call_timer_.start(kConnectTimeout);
   if (stream_) return connected();
   auto to = parse_address(address_);
   if (!to) return fail("no address");
   stream_ = std::make_unique<Stream>(loop_, *this);
-  stream_->read_first();  // what it tells counts since it was written: no call is placed before it is read
+  stream_->set_read_priority();  // a list is applied before calls that are read in the same iteration
   stream_->connect(*to, kRegistryReserve);
 }
 
 void RegistryWatch::connected() {
-  sent_ = true;
-  bool watches = index_ >= 0;
-  call_timeout_.start(watches ? kWatchTimeout : kCallTimeout);
-  std::string query = watches ? fmt::format("?from={}&hold_ms={}", index_, kHold / 1000) : "";
+  request_sent_ = true;
+  bool watches = version_ >= 0;
+  call_timer_.start(watches ? kWatchTimeout : kCallTimeout);
+  std::string query = watches ? fmt::format("?from={}&hold_ms={}", version_, kWatchHold / 1000) : "";
   stream_->write(fmt::format(
       "GET /registry/instances{} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", query, address_));
 }
 
 void RegistryWatch::received(std::string_view bytes) {
-  received_ = true;
-  if (!out_) return Stream::reset(std::move(stream_));  // nothing is asked: this connection is out of step
-  if (!std::exchange(answering_, true)) call_timeout_.start(kAnswerTimeout);
+  bytes_received_ = true;
+  if (!call_pending_) return Stream::reset(std::move(stream_));  // no call is pending: unexpected bytes
+  if (!std::exchange(response_started_, true)) call_timer_.start(kAnswerTimeout);
   std::size_t used = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
     complete();
-    // What follows an answer belongs to none that was asked for; the rest of it must not meet the next call.
+    // Bytes after the answer belong to no request and must not be taken for the next answer.
     if (used != bytes.size()) Stream::reset(std::move(stream_));
     return;
   }
@@ -119,11 +119,11 @@
 }
 
 void RegistryWatch::ended(CloseKind) {
-  if (out_ && stream_) {  // a body may end with its connection
+  if (call_pending_ && stream_) {  // a body without a length ends with its connection
     http_parser_execute(&parser_, &callbacks(), nullptr, 0);
     if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED && parser_.status_code == 200) return complete();
   }
-  if (out_) return fail("the connection ended");
+  if (call_pending_) return fail("the connection ended");
   Stream::reset(std::move(stream_));
 }
 
@@ -136,46 +136,47 @@
     log::warning("{}", error.what());
     return fail("a list that cannot be read");
   }
-  out_ = sent_ = answering_ = false;
+  call_pending_ = request_sent_ = response_started_ = false;
   log::debug("registry answer with {} lines, version {}", list.workers.size(), list.index);
-  call_timeout_.stop();
+  call_timer_.stop();
   http_parser_pause(&parser_, 0);
   if (!http_should_keep_alive(&parser_)) Stream::reset(std::move(stream_));
-  bool watched = index_ >= 0;
-  if (watched && list.index < index_) return ask_anew();
-  if (watched) asked_anew_ = false;
-  index_ = list.index;
-  next_.start(0);  // a watch goes on only if the next call comes within 200 ms
-  if (std::exchange(first_, false) || list.snapshot || !list.workers.empty()) handler_.told(list);
+  bool watched = version_ >= 0;
+  if (watched && list.index < version_) return request_full_list();
+  if (watched) full_list_requested_ = false;
+  version_ = list.index;
+  next_call_timer_.start(0);  // the registry continues a watch only if the next call comes within 200 ms
+  if (std::exchange(awaiting_first_answer_, false) || list.snapshot || !list.workers.empty())
+    handler_.on_list(list);
 }
 
-// An answer older than the list held: what it says may be over. Either it came late or the registry counts
-// its versions from the beginning again; the whole list tells which, and is taken whatever its version. A
-// registry that does so again is asked later, as after any failed call.
-void RegistryWatch::ask_anew() {
-  log::warning("registry: a list older than version {} was not taken, the whole list is asked for", index_);
-  index_ = kNoVersion;
-  if (std::exchange(asked_anew_, true)) return fail("older lists again and again");
-  next_.start(0);
+// Called for an answer older than the current list: either it is outdated or the registry restarted its
+// version count. The full list is accepted whatever its version. A second such answer counts as a failed
+// call.
+void RegistryWatch::request_full_list() {
+  log::warning("registry: ignored a list older than version {}, requesting the full list", version_);
+  version_ = kNoVersion;
+  if (std::exchange(full_list_requested_, true)) return fail("older lists again and again");
+  next_call_timer_.start(0);
 }
 
-// After a stall of the process the answer may lie in the socket, and it counts as told since it was written.
-void RegistryWatch::out_of_time() {
+// After a stall of the process the answer may lie unread in the socket.
+void RegistryWatch::on_call_timeout() {
   read_now();
-  if (out_ && !call_timeout_.active()) fail("no answer in time");
+  if (call_pending_ && !call_timer_.active()) fail("no answer in time");
 }
 
 void RegistryWatch::read_now() {
-  received_ = true;
-  for (int reads = 0; sent_ && reads < kReadsAtOnce && std::exchange(received_, false); ++reads)
+  bytes_received_ = true;
+  for (int reads = 0; request_sent_ && reads < kMaxReads && std::exchange(bytes_received_, false); ++reads)
     stream_->read_now();
 }
 
 void RegistryWatch::fail(const char* why) {
   log::info("registry call failed: {}", why);
-  next_.stop();
-  drop_call();
-  handler_.refused();
+  next_call_timer_.stop();
+  abandon_call();
+  handler_.on_failure();
 }
 
 }  // namespace marblehub::net
--- a/src/net/registry_watch.h
+++ b/src/net/registry_watch.h
@@ -1,4 +1,4 @@
-// The registry, asked over HTTP/1.1: one call out at a time, and the next watch right after an answer.
+/// The client of the worker registry: long polling over HTTP/1.1.
 #pragma once
 
 #include <http_parser.h>
@@ -12,23 +12,26 @@
 
 namespace marblehub::net {
 
+/// Fetches the list of workers and then watches for changes. One call is outstanding at a time; a watch is
+/// followed by the next as soon as it is answered. After a failure it waits for watch_endpoints.
 class RegistryWatch final : public core::Registry, public Stream::Handler {
  public:
+  /// Receives each list, or a notification that a call failed.
   struct Handler {
-    std::function<void(const config::WorkerList&)> told;
-    std::function<void()> refused;
+    std::function<void(const config::WorkerList&)> on_list;
+    std::function<void()> on_failure;
   };
-  // Only what has changed since the list `known` is asked for; the whole list where that one is empty.
+  /// Requests the changes since the list `known`, or the full list if that one is empty.
   RegistryWatch(Loop& loop, std::string address, const config::WorkerList& known);
   ~RegistryWatch() override;
-  void on_news(Handler handler) { handler_ = std::move(handler); }
-  void close();
-  // The registry has moved: whatever is out at the old address is dropped, and the whole list is asked for at
-  // the new one, which need not count its versions as the old one did.
-  void follow(std::string address);
+  void set_handler(Handler handler) { handler_ = std::move(handler); }
+  void close();  ///< no further call is made, and a pending one is abandoned
+  /// Abandons a pending call at the old address and requests the full list at the new one, whose versions
+  /// need not continue those of the old one.
+  void change_address(std::string address);
 
   void watch_endpoints() override;
-  // Takes what has come by now without waiting for the loop.
+  /// Handles what has already arrived, without waiting for the loop.
   void read_now();
 
   void connected() override;
@@ -36,25 +39,25 @@
   void ended(CloseKind ending) override;
 
  private:
-  void call();
-  void drop_call();  // what is out is heard of no more
-  void out_of_time();
+  void send_request();
+  void abandon_call();  // its answer is ignored
+  void on_call_timeout();
   void complete();
-  void ask_anew();
+  void request_full_list();
   void fail(const char* why);
 
   Loop& loop_;
   std::string address_;
-  std::int64_t index_;
+  std::int64_t version_;
   Handler handler_;
   std::unique_ptr<Stream> stream_;
-  TimerWatch call_timeout_, next_;
+  TimerWatch call_timer_, next_call_timer_;
   http_parser parser_;
   std::string body_;
-  bool out_ = false, closed_ = false, first_ = true;
-  bool sent_ = false, answering_ = false;  // of the call that is out: written; the first byte has come
-  bool received_ = false;                  // since it was last cleared
-  bool asked_anew_ = false;  // an answer older than the list held has come, and no sound one of a watch since
+  bool call_pending_ = false, closed_ = false, awaiting_first_answer_ = true;
+  bool request_sent_ = false, response_started_ = false;  // of the pending call
+  bool bytes_received_ = false;                           // since it was last cleared
+  bool full_list_requested_ = false;  // after an outdated answer, until a watch is answered correctly
 };
 
 }  // namespace marblehub::net
--- a/src/net/worker_side.cpp
+++ b/src/net/worker_side.cpp
@@ -17,7 +17,7 @@
 
 // ---- Attempts -----------------------------------------------------------------------------------
 
-// One connection to a worker, from the connect to the end of what stands on it.
+// The connection of one attempt, from the connect to the end of the call established on it.
 class WorkerLink final : public Stream::Handler {
  public:
   WorkerLink(WorkerSide& side, core::Exchange& exchange, const std::string& address, Time wait)
@@ -25,7 +25,7 @@
         exchange_(&exchange),
         wait_until_(side.loop_.now() + wait),
         stream_(std::make_unique<Stream>(side.loop_, *this)),
-        connect_timer_(side.loop_, [this] { over(Outcome::connect_failed, CloseKind::aborted); }) {
+        connect_timer_(side.loop_, [this] { end_attempt(Outcome::connect_failed, CloseKind::aborted); }) {
     if (auto to = parse_address(address)) {
       stream_->connect(*to);
       connect_timer_.start(side.connect_timeout_);
@@ -37,99 +37,105 @@
   void connected() override {
     connect_timer_.stop();
     if (!exchange_) return;
-    if (!exchange_->client_waiting()) return;  // its end is read in this turn, and ends the call
-    // That nothing begins now is no fault of the worker's.
+    if (!exchange_->client_waiting()) return;  // the client's end is read in this iteration and ends the call
+    // The worker is not to blame if the attempt does not begin.
     bool in_time = side_.loop_.now() < wait_until_;
-    if (!in_time || !exchange_->may_begin()) return over(Outcome::not_sent, CloseKind::aborted);
-    // The worker is told how long this balancer will wait, not how long the client once would.
-    Time left = std::max<Time>(1, (wait_until_ - side_.loop_.now()) / 1000);
-    std::string line = with_field(exchange_->call().front_data, "d", std::to_string(left)) + "\r\n";
+    if (!in_time || !exchange_->may_begin()) return end_attempt(Outcome::not_sent, CloseKind::aborted);
+    // The request carries the time left for this attempt, not the client's original wait.
+    Time remaining_ms = std::max<Time>(1, (wait_until_ - side_.loop_.now()) / 1000);
+    std::string line = with_field(exchange_->call().front_data, "d", std::to_string(remaining_ms)) + "\r\n";
     side_.bytes_out_.add(static_cast<double>(line.size()));
-    asked_ = true;
+    request_written_ = true;
     stream_->write(line);
   }
 
   void received(std::string_view bytes) override {
     side_.bytes_in_.add(static_cast<double>(bytes.size()));
-    if (!up_) {
-      in_.append(bytes);
-      std::size_t end = in_.find('\n');
-      if (std::min(end, in_.size()) >= kMaxLineBytes) return over(Outcome::error, CloseKind::aborted);
+    if (!established_) {
+      input_.append(bytes);
+      std::size_t end = input_.find('\n');
+      if (std::min(end, input_.size()) >= kMaxLineBytes)
+        return end_attempt(Outcome::error, CloseKind::aborted);
       if (end == std::string::npos) return;
-      std::string line = in_.substr(0, end + 1), rest = in_.substr(end + 1);
-      in_.clear();
+      std::string line = input_.substr(0, end + 1), rest = input_.substr(end + 1);
+      input_.clear();
       if (verb_of(line) != "UP") {
-        answer(std::move(line));
+        handle_answer(std::move(line));
         return;
       }
-      up_ = true;
+      established_ = true;
       if (exchange_) exchange_->worker_established(line);
-      if (!rest.empty()) pass(rest);
+      if (!rest.empty()) forward(rest);
       return;
     }
-    pass(bytes);
+    forward(bytes);
   }
 
   void drained() override {
-    if (!exchange_ || !full_told_) return;
-    full_told_ = false;
+    if (!exchange_ || !blocked_reported_) return;
+    blocked_reported_ = false;
     exchange_->worker_blocked(false);
   }
 
   void ended(CloseKind ending) override {
     connect_timer_.stop();
     if (!exchange_) return;
-    if (up_) return over(closing_, ending);
-    if (stream_->unsent()) return over(Outcome::not_sent, ending);  // our own want, not the worker's fault
-    over(asked() ? Outcome::reset : Outcome::connect_failed, ending);
+    if (established_) return end_attempt(end_outcome_, ending);
+    if (stream_->failed_locally())
+      return end_attempt(Outcome::not_sent, ending);  // a local failure, not the worker's
+    end_attempt(request_sent() ? Outcome::reset : Outcome::connect_failed, ending);
   }
 
-  // ---- From the exchange, by way of the handle.
+  // ---- Calls of the exchange, forwarded by AttemptHandle.
   void deliver(std::string_view bytes) {
     if (!stream_) return;
     side_.bytes_out_.add(static_cast<double>(bytes.size()));
     stream_->write(bytes);
-    if (stream_->backlog() > kMaxBacklogBytes && !full_told_ && exchange_) {
-      full_told_ = true;
+    if (stream_->backlog() > kMaxBacklogBytes && !blocked_reported_ && exchange_) {
+      blocked_reported_ = true;
       exchange_->worker_blocked(true);
     }
   }
   void hold(bool on) {
     if (stream_) stream_->set_reading(!on);
   }
-  bool asked() const { return asked_ && stream_ && stream_->backlog() == 0; }
-  void finish(CloseKind ending) { Stream::end(std::move(stream_), up_ ? ending : CloseKind::aborted); }
+  bool request_sent() const { return request_written_ && stream_ && stream_->backlog() == 0; }
+  void finish(CloseKind ending) {
+    Stream::end(std::move(stream_), established_ ? ending : CloseKind::aborted);
+  }
   void detach() {
     exchange_ = nullptr;
     connect_timer_.stop();
-    // Given up: at once and for good, so that no second attempt is out beside it.
+    // Closed at once, so that the next attempt does not overlap with this one.
     Stream::reset(std::move(stream_));
   }
 
  private:
-  // A first line that is not UP: the outcome, as the protocol's table has it.
-  void answer(std::string line) {
+  // Maps an answer other than UP to the outcome that the protocol defines for it.
+  void handle_answer(std::string line) {
     std::string_view verb = verb_of(line);
     core::LoadReport report = parse_load_report(without_line_end(line));
     Outcome outcome = Outcome::error;
     if (verb == "BUSY") outcome = Outcome::full;
     if (verb == "BYE") outcome = Outcome::served;
     if (verb == "MOVE") outcome = Outcome::cancelled;
-    over(outcome, CloseKind::orderly, report, line);
+    end_attempt(outcome, CloseKind::orderly, report, line);
   }
 
-  void pass(std::string_view bytes) {
+  void forward(std::string_view bytes) {
     while (!bytes.empty() && exchange_) {
-      LineTracker::Part part = lines_.next(bytes);
-      core::StreamChunk chunk{bytes.substr(0, part.length), 0, lines_.between()};
-      bytes.remove_prefix(part.length);
-      if (part.ended) {
-        std::string_view verb = verb_of(lines_.last());
+      LineTracker::Segment segment = line_tracker_.next(bytes);
+      core::StreamChunk chunk{bytes.substr(0, segment.length), 0, line_tracker_.at_line_start()};
+      bytes.remove_prefix(segment.length);
+      if (segment.ended) {
+        std::string_view verb = verb_of(line_tracker_.last_line());
         if (verb == "LOAD") {
-          load_told(lines_.last());
+          handle_load(line_tracker_.last_line());
         } else if (verb == "BYE" || verb == "MOVE" || verb == "ERR") {
-          closing_ = verb == "BYE" ? Outcome::served : verb == "MOVE" ? Outcome::cancelled : Outcome::error;
-        } else if (verb != "UP" && verb != "BUSY") {  // these: a second answer, late, to the opening line
+          end_outcome_ = verb == "BYE"    ? Outcome::served
+                         : verb == "MOVE" ? Outcome::cancelled
+                                          : Outcome::error;
+        } else if (verb != "UP" && verb != "BUSY") {  // UP and BUSY here: a late second answer to the request
           chunk.messages = 1;
         }
       }
@@ -137,18 +143,18 @@
     }
   }
 
-  void load_told(std::string_view line) {
+  void handle_load(std::string_view line) {
     line = without_line_end(line);
     if (line.size() <= 5) return;
     if (auto load = config::parse_number<double>(line.substr(5))) exchange_->worker_load(*load);
   }
 
-  void over(Outcome outcome, CloseKind ending, const core::LoadReport& report = {},
-            std::string_view words = {}) {
+  void end_attempt(Outcome outcome, CloseKind ending, const core::LoadReport& report = {},
+                   std::string_view reply = {}) {
     connect_timer_.stop();
     Stream::end(std::move(stream_), ending);
     if (core::Exchange* exchange = std::exchange(exchange_, nullptr))
-      exchange->worker_ended(outcome, ending, report, words);
+      exchange->worker_ended(outcome, ending, report, reply);
   }
 
   WorkerSide& side_;
@@ -156,26 +162,27 @@
   const Time wait_until_;
   std::unique_ptr<Stream> stream_;
   TimerWatch connect_timer_;
-  std::string in_;
-  LineTracker lines_;
-  Outcome closing_ = Outcome::reset;  // what an end means now
-  bool asked_ = false, up_ = false, full_told_ = false;
+  std::string input_;
+  LineTracker line_tracker_;
+  Outcome end_outcome_ = Outcome::reset;  // the outcome if the connection ends now
+  bool request_written_ = false, established_ = false, blocked_reported_ = false;
 };
 
 namespace {
 
-// What the exchange owns. The link may be inside a call of its own when it is given back: the loop frees it.
-class Handle final : public core::Attempt {
+// The exchange's handle to its attempt. The link may be in a callback when the handle is destroyed, so the
+// loop frees it later.
+class AttemptHandle final : public core::Attempt {
  public:
-  Handle(Loop& loop, std::shared_ptr<WorkerLink> link) : loop_(loop), link_(std::move(link)) {}
-  ~Handle() override {
+  AttemptHandle(Loop& loop, std::shared_ptr<WorkerLink> link) : loop_(loop), link_(std::move(link)) {}
+  ~AttemptHandle() override {
     link_->detach();
     loop_.defer_release(std::move(link_));
   }
   void deliver(std::string_view bytes) override { link_->deliver(bytes); }
   void hold(bool on) override { link_->hold(on); }
   void finish(CloseKind ending) override { link_->finish(ending); }
-  bool timeout_blames_worker() const override { return link_->asked(); }
+  bool timeout_blames_worker() const override { return link_->request_sent(); }
 
  private:
   Loop& loop_;
@@ -192,94 +199,96 @@
 
 std::unique_ptr<core::Attempt> WorkerSide::begin_attempt(core::Exchange& exchange, const std::string&,
                                                          const std::string& address, Time wait) {
-  return std::make_unique<Handle>(loop_, std::make_shared<WorkerLink>(*this, exchange, address, wait));
+  return std::make_unique<AttemptHandle>(loop_, std::make_shared<WorkerLink>(*this, exchange, address, wait));
 }
 
-// ---- Probes ----------------------------------------------------------------------------------------
+// ---- Probes -------------------------------------------------------------------------------------
 
+// The probe connection to one worker.
 class Probes::Link final : public Stream::Handler {
  public:
   Link(Probes& probes, std::string worker)
       : probes_(probes),
         worker_(std::move(worker)),
-        timeout_(probes.loop_, [this] { timed_out(); }),
-        idle_(probes.loop_, [this] { drop(); }) {}
+        probe_timer_(probes.loop_, [this] { on_timeout(); }),
+        idle_timer_(probes.loop_, [this] { close_stream(); }) {}
   ~Link() override { Stream::reset(std::move(stream_)); }
 
   void probe(const std::string& address) {
-    if (waiting_) return;
-    waiting_ = true;
+    if (result_pending_) return;
+    result_pending_ = true;
     sent_at_ = probes_.loop_.now();
-    idle_.stop();
-    if (address != address_) drop();
+    idle_timer_.stop();
+    if (address != address_) close_stream();
     address_ = address;
-    reused_ = stream_ != nullptr;
-    ask();
+    connection_reused_ = stream_ != nullptr;
+    send_probe();
   }
 
   void connected() override {
     connected_ = true;
-    if (waiting_) timeout_.start(kProbeTimeout);  // from the line on: a connect has a time-out of its own
+    if (result_pending_)
+      probe_timer_.start(kProbeTimeout);  // starts at the request; the connect has its own timeout
     stream_->write("STATS\r\n");
   }
   void received(std::string_view bytes) override {
-    in_.append(bytes);
-    if (in_.size() > kMaxLineBytes) return end(Outcome::error, {});
-    std::optional<std::string> line = take_line(in_);
-    if (!line || !waiting_) return;
-    bool pong = verb_of(*line) == "PONG";
-    if (!pong) drop();
-    end(pong ? Outcome::served : Outcome::error, parse_load_report(*line));
+    input_.append(bytes);
+    if (input_.size() > kMaxLineBytes) return end(Outcome::error, {});
+    std::optional<std::string> line = take_line(input_);
+    if (!line || !result_pending_) return;
+    bool is_pong = verb_of(*line) == "PONG";
+    if (!is_pong) close_stream();
+    end(is_pong ? Outcome::served : Outcome::error, parse_load_report(*line));
   }
   void ended(CloseKind) override {
-    bool unsent = stream_->unsent();
-    drop();
-    if (!waiting_) return;
-    if (unsent) return end(Outcome::not_sent, {});
-    // A kept connection may have been closed by the worker just now: that says nothing of its health.
-    if (std::exchange(reused_, false)) return ask();
+    bool failed_locally = stream_->failed_locally();
+    close_stream();
+    if (!result_pending_) return;
+    if (failed_locally) return end(Outcome::not_sent, {});
+    // The worker may just have closed the kept connection, which does not make it unhealthy.
+    if (std::exchange(connection_reused_, false)) return send_probe();
     end(connected_ ? Outcome::reset : Outcome::connect_failed, {});
   }
 
  private:
-  void ask() {
+  void send_probe() {
     connected_ = stream_ != nullptr;
     if (stream_) {
-      stream_->spare(false);
-      timeout_.start(kProbeTimeout);
+      stream_->set_reclaimable(false);
+      probe_timer_.start(kProbeTimeout);
       stream_->write("STATS\r\n");
       return;
     }
     auto to = parse_address(address_);
     stream_ = std::make_unique<Stream>(probes_.loop_, *this);
-    in_.clear();
-    timeout_.start(to ? probes_.connect_timeout_ : 0);
+    input_.clear();
+    probe_timer_.start(to ? probes_.connect_timeout_ : 0);
     if (to) stream_->connect(*to);
   }
-  void timed_out() {
-    drop();
+  void on_timeout() {
+    close_stream();
     end(connected_ ? Outcome::timeout : Outcome::connect_failed, {});
   }
-  void drop() {
+  void close_stream() {
     Stream::reset(std::move(stream_));
-    in_.clear();
+    input_.clear();
   }
   void end(Outcome outcome, const core::LoadReport& report) {
-    timeout_.stop();
+    probe_timer_.stop();
     if (stream_) {
-      idle_.start(kProbeIdle);
-      stream_->spare(true);
+      idle_timer_.start(kProbeIdle);
+      stream_->set_reclaimable(true);
     }
-    if (!std::exchange(waiting_, false)) return;
+    if (!std::exchange(result_pending_, false)) return;
     probes_.result_(worker_, probes_.loop_.now() - sent_at_, outcome, report);
   }
 
   Probes& probes_;
   const std::string worker_;
-  std::string address_, in_;
+  std::string address_, input_;
   std::unique_ptr<Stream> stream_;
-  TimerWatch timeout_, idle_;
-  bool waiting_ = false, reused_ = false, connected_ = false;
+  TimerWatch probe_timer_, idle_timer_;
+  bool result_pending_ = false, connection_reused_ = false, connected_ = false;
   Time sent_at_ = 0;
 };
 
--- a/src/net/worker_side.h
+++ b/src/net/worker_side.h
@@ -1,4 +1,4 @@
-// The platform's workers: one connection for each attempt, and the probes.
+/// Connections to workers: one for each attempt, and those of the probes.
 #pragma once
 
 #include <map>
@@ -12,6 +12,7 @@
 
 namespace marblehub::net {
 
+/// Begins attempts: connects to a worker and forwards the call's request line to it.
 class WorkerSide final : public core::WorkerSide {
  public:
   WorkerSide(Loop& loop, Time connect_timeout, metrics::Registry& metrics);
@@ -25,9 +26,11 @@
   metrics::Metric &bytes_in_, &bytes_out_;
 };
 
-// Probes go over a connection of their own to each worker, kept for a while: a new one costs the worker work.
+/// Probes workers with STATS, each over a separate connection that is kept for a while to save the worker the
+/// cost of new connections.
 class Probes final : public core::Prober {
  public:
+  /// Called with the outcome of each probe; `rtt` in microseconds includes a connect.
   using Result = std::function<void(const std::string& worker, Time rtt, core::Outcome outcome,
                                     const core::LoadReport& report)>;
   Probes(Loop& loop, Time connect_timeout);
