--- a/tests/crossings/crossing_test.cpp
+++ b/tests/crossings/crossing_test.cpp
@@ -1,4 +1,5 @@
-// Plays the crossing that the variable CROSSING names; ctest starts this once for each file of the folder.
+// Plays the script named by the environment variable CROSSING; ctest runs this once for each script in the
+// folder.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
--- a/tests/support/policy_fixture.h
+++ b/tests/support/policy_fixture.h
@@ -1,4 +1,4 @@
-// The module alone, driven by hand: its timers run, its actions are kept for a test to look at.
+// A policy::Balancer on a simulated clock, with its actions recorded for the test.
 #pragma once
 
 #include <algorithm>
@@ -13,6 +13,7 @@
 
 using namespace marblehub::policy;
 
+// Delivers events to the balancer, runs its timers and records its actions. Times are in microseconds.
 struct PolicyFixture {
   explicit PolicyFixture(const Settings& s = settings(), std::uint64_t seed = 7) : balancer(s, seed, 0) {}
 
@@ -32,6 +33,7 @@
   void list(EndpointListKind form, std::vector<BackendEntry> entries) {
     handle(EndpointListEvent{form, std::make_shared<std::vector<BackendEntry>>(std::move(entries))});
   }
+  // Delivers an event at the current time and records the resulting actions.
   void handle(const Event& event) {
     std::vector<Action> actions;
     balancer.handle(now, event, actions);
@@ -47,17 +49,19 @@
       if (std::holds_alternative<WatchEndpoints>(action)) watch_times.push_back(now);
     }
   }
+  // Advances the clock by `span` and fires the timers that fall due.
   void run(Time span) {
     for (Time end = now + span; timer_at <= end;) {
       now = timer_at;
       handle(TimerEvent{0});
     }
   }
+  // Hands over `count` connections that the worker already holds.
   void hold(const std::string& worker, int count, std::uint64_t group = 0) {
     for (int i = 0; i < count; ++i) handle(HandoverEvent{{next_id++, 0, 2'000'000, 0, false, group}, worker});
   }
 
-  // Asks for a connection, which stands at once where it is placed; empty: it is not.
+  // Requests a connection, which is established at once; returns its worker, empty if it was not placed.
   std::string ask(std::uint64_t group = 0) {
     std::uint64_t id = next_id++;
     handle(RequestEvent{id, 0, 2'000'000, 0, false, group});
@@ -65,10 +69,12 @@
     handle(EstablishedEvent{id, 0, 1000});
     return placed[id];
   }
+  // Reports a load as the result of a probe.
   void report(const std::string& worker, double load) {
     handle(ProbeResultEvent{worker, 8000, Outcome::served, {load}});
   }
 
+  // How often the worker has been probed.
   auto probed(const std::string& name) const {
     return std::count_if(probes.begin(), probes.end(), [&](const auto& p) { return p.second == name; });
   }
@@ -81,10 +87,10 @@
   std::vector<std::pair<Time, std::string>> probes;
   std::map<std::uint64_t, std::string> placed;
   std::vector<std::uint64_t> rejected;
-  std::vector<Time> watch_times;  // when the list was asked for
+  std::vector<Time> watch_times;  // when the endpoint list was requested
 };
 
-// Workers named 1 to `count`.
+// Healthy workers named 1 to `count`.
 inline std::vector<BackendEntry> workers(int count) {
   std::vector<BackendEntry> entries;
   for (int i = 1; i <= count; ++i)
@@ -94,9 +100,10 @@
 
 inline std::vector<BackendEntry> twelve_workers() { return workers(12); }
 
+// Settings with a probe price as on the platform, so that probes are sent less often.
 inline Settings expensive_probes() {
   Settings s = PolicyFixture::settings();
-  s.price_probe = 0.0018;  // stretches the interval as on the platform
+  s.price_probe = 0.0018;
   return s;
 }
 
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -1,4 +1,4 @@
-// The program under test, started as the platform starts it.
+// Starts the marblehub program as a child process, as the platform does, and observes it.
 #pragma once
 
 #include <poll.h>
@@ -26,11 +26,13 @@
 
 using nlohmann::json;
 
+// Steady clock, in milliseconds.
 inline std::int64_t now_ms() {
   using namespace std::chrono;
   return duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
+// The policy settings that the tests use unless they change them.
 inline json settings() {
   return {{"balancers", 1},
           {"me", 0},
@@ -53,16 +55,17 @@
                                             {"stream", true}}})}};
 }
 
-// The balancer that is started: the one built beside the tests, unless a tool names another.
+// The path of the program to start: the one built with the tests, unless a tool sets another.
 inline std::string& program_path() {
   static std::string path = MARBLEHUB_PROGRAM;
   return path;
 }
 
-// How a program is started: awaited until it listens; at once, without waiting; or held at the reading of its
-// configuration, until release_config.
+// How a program is started: waiting until it listens, without waiting, or blocked reading its configuration
+// until release_config is called.
 enum class Launch { awaited, at_once, held };
 
+// A running program with its own temporary folder, configuration and log. Killed on destruction.
 class Program {
  public:
   Program(json known, json settings, int registry_port, const std::string& quic_file = "/nonexistent",
@@ -94,14 +97,14 @@
     if (launch == Launch::awaited) wait_until_listening();
     if (launch == Launch::held) held_config_.open(config_file());  // returns once the program reads from it
   }
-  // Starts the program again, on the same port; for one that has ended.
+  // Starts the program again on the same port after it has ended.
   void relaunch() {
-    std::remove((folder_ + "/log").c_str());  // else the old one would be taken for the new one's
+    std::remove((folder_ + "/log").c_str());  // else wait_until_listening would read the old log
     launch();
     wait_until_listening();
   }
   void release_config() {
-    ::signal(SIGPIPE, SIG_IGN);  // should the program have ended, a later step fails, not the test's process
+    ::signal(SIGPIPE, SIG_IGN);  // a program that has ended must fail a later step, not kill the test process
     held_config_ << config_.dump();
     held_config_.close();
   }
@@ -117,8 +120,8 @@
       setenv("BALANCER_CONFIG", (folder_ + "/config.json").c_str(), 1);
       rlimit limit{files_, files_};
       setrlimit(RLIMIT_NOFILE, &limit);
-      close_range(3, ~0U, 0);            // so that it begins with the same descriptors wherever the test runs
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // it must not outlive a test that crashes
+      close_range(3, ~0U, 0);            // the same initial descriptors wherever the test runs
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // must not outlive a crashed test
       if (!freopen((folder_ + "/log").c_str(), "w", stderr) || !freopen("/dev/null", "w", stdout)) _exit(126);
       execl(program_path().c_str(), "marblehub", nullptr);
       _exit(127);
@@ -136,43 +139,43 @@
     std::remove((folder_ + "/log").c_str());
     rmdir(folder_.c_str());
   }
-  // The configuration file is replaced as a whole, as an operator does it.
+  // Replaces the configuration file atomically.
   void write(const std::string& text) {
     std::ofstream(folder_ + "/next.json") << text;
     std::rename((folder_ + "/next.json").c_str(), (folder_ + "/config.json").c_str());
   }
-  // The process dies as by SIGKILL and is started again at once, at the same port.
+  // Kills the process with SIGKILL and starts it again at once on the same port.
   void restart() {
     kill_and_reap();
     write(config_.dump());
     relaunch();
   }
-  // The running process may open no more files than this from now on; what it has open stays.
-  void allow_files(rlim_t most) {
-    rlimit limit{most, files_};
+  // Lowers RLIMIT_NOFILE of the running process; files already open stay open.
+  void allow_files(rlim_t max_files) {
+    rlimit limit{max_files, files_};
     prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr);
   }
   json& config() { return config_; }
   std::string config_file() const { return folder_ + "/config.json"; }
   void remove_config() { std::remove((folder_ + "/config.json").c_str()); }
   void signal(int number) {
-    if (pid_ > 0) ::kill(pid_, number);  // 0, once it has ended, would be the test's own process group
+    if (pid_ > 0) ::kill(pid_, number);  // kill(0) would signal the test's own process group
   }
-  // Stops the process; what reaches its sockets until SIGCONT is all ready at its next turn.
+  // Stops the process; all input until SIGCONT is ready in its next event loop iteration.
   void freeze() {
     ::kill(pid_, SIGSTOP);
     int status = 0;
     if (waitpid(pid_, &status, WUNTRACED) != pid_ || !WIFSTOPPED(status))
       throw std::runtime_error("the program ended instead of stopping");
   }
-  // The exit code; -1 while it runs, 128 and more where a signal ended it.
+  // The exit code; -1 while it runs, 128 plus the number of the signal that ended it.
   int exit_code() {
     int status = 0;
     if (pid_ <= 0 || waitpid(pid_, &status, WNOHANG) != pid_) return -1;
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
-  // Whether it has ended; its exit code stays to be asked for.
+  // Whether it has ended; does not consume its exit code.
   bool has_ended() const {
     siginfo_t info{};
     return waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
@@ -184,12 +187,13 @@
     text << file.rdbuf();
     return text.str();
   }
+  // The number of its open files and sockets.
   std::size_t descriptors() const {
     std::error_code error;
     std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd", error);
     return error ? 0 : static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
-  // Of processor time, in microseconds.
+  // CPU time used, in microseconds.
   long long cpu_us() const {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/schedstat");
     long long ns = 0;
@@ -202,7 +206,7 @@
     file >> all >> resident;
     return resident * (sysconf(_SC_PAGESIZE) / 1024);
   }
-  // A counter as the program prints it; -1 where it does not.
+  // The last printed value of a counter; -1 if it was not printed.
   double counter(const std::string& name) const {
     std::string text = log();
     std::size_t at = text.rfind("\n" + name + " ");
--- a/tests/support/sockets.h
+++ b/tests/support/sockets.h
@@ -1,4 +1,4 @@
-// Sockets on the loopback net, and ports that a program under test can listen on.
+// Sockets on the loopback network, and free ports for a program under test.
 #pragma once
 
 #include <arpa/inet.h>
@@ -13,6 +13,7 @@
 
 namespace marblehub::test {
 
+// 127.0.0.1 with a port in host byte order.
 inline sockaddr_in loopback(int port = 0) {
   sockaddr_in a{};
   a.sin_family = AF_INET;
@@ -21,6 +22,7 @@
   return a;
 }
 
+// The local port of a socket.
 inline int port_of(int fd) {
   sockaddr_in a{};
   socklen_t size = sizeof a;
@@ -30,15 +32,15 @@
 
 inline std::string loopback_address_text(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-// Each test process has a part of the loopback net to itself, so that a port there is free whenever it is
-// bound: one found free may be taken by a test beside before the program has it.
+// An address in a part of the loopback network that belongs to this test process, so that tests running in
+// parallel cannot take the port between the check and the bind.
 inline std::string process_address(int member, int port) {
   unsigned pid = static_cast<unsigned>(getpid());
   return "127." + std::to_string(10 + pid / 256 % 240) + "." + std::to_string(pid % 256) + "." +
          std::to_string(1 + member) + ":" + std::to_string(port);
 }
 
-// A socket bound to a free loopback port; type may carry SOCK_NONBLOCK.
+// A socket bound to a free loopback port; `type` may include SOCK_NONBLOCK. The caller closes it.
 inline int bound_socket(int type) {
   int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
   sockaddr_in a = loopback();
@@ -46,20 +48,19 @@
   return fd;
 }
 
-// A client's connection to a port of this machine.
+// A blocking connection to a port on 127.0.0.1. The caller closes it.
 inline int connected_socket(int port) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in to = loopback(port);
-  timeval send_timeout{5, 0};  // a listen queue that is full lets nobody in
+  timeval send_timeout{5, 0};  // bounds a connect to a full listen queue
   setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
   if (::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0)
     throw std::runtime_error("no connection");
   return fd;
 }
 
-// A loopback port that is free for sockets of this type, below the range from which the system itself takes
-// ports: none of the many connections and sockets that tests beside this one open can take it before the
-// program binds it.
+// A loopback port that is free for sockets of this type. It lies below the ephemeral port range, so that
+// connections of tests running in parallel cannot take it before the program binds it.
 inline int free_port(int type) {
   constexpr int lowest = 12000, highest = 32000;  // net.ipv4.ip_local_port_range begins at 32768
   static std::mt19937 random(std::random_device{}());
