--- a/src/net/client_side.h
+++ b/src/net/client_side.h
@@ -37,8 +37,7 @@
   /// connection; the caller tries again later.
   void close();
   bool closed() const { return !fd_; }
-  /// Reads once more from clients that have sent no request, and answers BUSY to those without a complete
-  /// line.
+  /// Reads once more from clients without a request, and answers BUSY to those that still have none.
   void close_silent_clients();
   /// The number of clients that have sent no request yet.
   std::size_t pending_requests() const { return awaiting_request_.size(); }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -53,7 +53,7 @@
   Loop(const Loop&) = delete;
 
   Time now() const override;
-  void run();
+  void run();  ///< returns after stop()
   void stop();
   /// Sets a function that is called before each wait and returns how long the loop may sleep.
   void before_wait(std::function<Time()> hook) { hook_ = std::move(hook); }
@@ -96,11 +96,11 @@
   }
   ~IoWatch() { stop(); }
   IoWatch(const IoWatch&) = delete;
-  void start(int fd, int events);
-  /// To be called before start. Of the watchers ready in one iteration, higher priorities run first; default
-  /// 0.
+  void start(int fd, int events);  ///< watches for EV_READ and EV_WRITE; no events: stops
+  /// Watchers of a higher priority run first within an iteration; the default is 0. Call it before start.
   void priority(int level) { ev_set_priority(&watcher_, level); }
   void stop() { ev_io_stop(loop_.raw(), &watcher_); }
+  /// Makes the loop call the function with `events` in its next iteration.
   void feed(int events) { ev_feed_event(loop_.raw(), &watcher_, events); }
 
  private:
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -24,7 +24,8 @@
 /// stream.
 class Stream {
  public:
-  /// Receives the events of a stream. Must outlive the stream or its hand-over to finish, drop or reset.
+  /// Receives the events of a stream. Must live until the stream is destroyed or passed to finish, drop or
+  /// reset.
   class Handler {
    public:
     virtual ~Handler() = default;
@@ -43,16 +44,15 @@
   /// Starts to connect; a failure is reported by Handler::ended. If no descriptor is available, a reclaimable
   /// connection is closed for it. `reserve` is the number of reserved descriptors that this connect may use.
   void connect(const sockaddr_in& to, std::size_t reserve = 0);
-  bool has_unread_input() const;  ///< whether bytes or the peer's end have arrived unread
-  void write(std::string_view bytes);
-  void set_reading(bool on);  ///< turns reading off or on again
+  bool has_unread_input() const;       ///< whether bytes or the peer's end have arrived unread
+  void write(std::string_view bytes);  ///< buffers what the system does not accept at once
+  void set_reading(bool on);           ///< turns reading off or on again
   /// The written bytes that the system has not accepted; after an ending, those it never did.
   std::size_t backlog() const { return out_.size() - sent_; }
   /// Whether the peer has closed its side, even behind bytes that are not read yet, as far as the system
   /// reports it. Reads nothing.
   bool peer_ended() const;
-  /// Reads this stream before others that are ready in the same iteration. To be called before adopt or
-  /// connect.
+  /// Reads this stream before others that are ready in the same iteration. Call it before adopt or connect.
   void set_read_priority() { io_.priority(1); }
   /// Whether a connect failed for lack of local resources, such as descriptors or ports.
   bool failed_locally() const { return failed_locally_; }
