--- a/src/model/client_session.cpp
+++ b/src/model/client_session.cpp
@@ -1,100 +1,101 @@
 // A client's session at a balancer of the model.
-#include "model/host_parts.h"
+#include "model/balancer_parts.h"
 
 namespace marblehub::model {
 namespace {
 
 using policy::Outcome;
 
-constexpr std::size_t kSampled = 20000;  // set-up times that are kept
+constexpr std::size_t kMaxSetupSamples = 20000;  // set-up times that are kept
 
 }  // namespace
 
-void Host::Session::final_answer() {
-  if (answered) host->rules_.broken(Rule::one_answer, host->now(), "a second answer");
+void BalancerProcess::Session::record_final_answer() {
+  if (answered) balancer->rules_.record(Rule::one_answer, balancer->now(), "a second answer");
   answered = true;
-  if (host->now() - asked_at > host->scenario_.client_timeout)
-    host->rules_.broken(Rule::in_time, host->now(), "an answer after the client gave up");
+  if (balancer->now() - call_started > balancer->scenario_.client_timeout)
+    balancer->rules_.record(Rule::answer_in_time, balancer->now(), "an answer after the client gave up");
 }
 
-void Host::Session::established(std::string_view) {
-  final_answer();
-  Time at = host->now();
-  if (host->figures_.set_up_ms.size() < kSampled)
-    host->figures_.set_up_ms.push_back(static_cast<float>(at - asked_at) / kMillisecond);
-  host->figures_.went_without(client, at);
-  client.wanting_since = at;
-  client.tries = 0;
-  host->note("stands", *this, host->name(worker));
-  stand();
+void BalancerProcess::Session::established(std::string_view) {
+  record_final_answer();
+  Time at = balancer->now();
+  if (balancer->statistics_.setup_ms.size() < kMaxSetupSamples)
+    balancer->statistics_.setup_ms.push_back(static_cast<float>(at - call_started) / kMillisecond);
+  balancer->statistics_.add_disconnected_time(client, at);
+  client.state_since = at;
+  client.consecutive_failures = 0;
+  balancer->log_event("stands", *this, balancer->name(worker));
+  join_worker();
 }
 
-void Host::Session::stand() {
-  stands = true;
-  Known& there = host->known_[static_cast<std::size_t>(worker)];
-  place = there.sessions.size();
-  there.sessions.push_back(slot);
-  Event over = host->event_for(What::wish_over);
-  over.key = static_cast<std::uint64_t>(life) << 32 | slot;
-  host->later(over, std::max(host->now(), client.until));
+void BalancerProcess::Session::join_worker() {
+  connected = true;
+  KnownWorker& known = balancer->known_workers_[static_cast<std::size_t>(worker)];
+  index_at_worker = known.sessions.size();
+  known.sessions.push_back(slot);
+  Event departure = balancer->make_event(EventType::client_departure);
+  departure.key = static_cast<std::uint64_t>(generation) << 32 | slot;
+  balancer->schedule(departure, std::max(balancer->now(), client.departs_at));
 }
 
-void Host::Session::leave_worker() {
-  if (!stands) return;
-  stands = false;
-  host->figures_.had(client, host->now());
-  client.wanting_since = host->now();
-  Known& there = host->known_[static_cast<std::size_t>(worker)];
-  if (there.speaks == slot + 1) there.speaks = 0;
-  there.sessions[place] = there.sessions.back();
-  host->sessions_[there.sessions[place]].place = place;
-  there.sessions.pop_back();
+void BalancerProcess::Session::leave_worker() {
+  if (!connected) return;
+  connected = false;
+  balancer->statistics_.add_connected_time(client, balancer->now());
+  client.state_since = balancer->now();
+  KnownWorker& known = balancer->known_workers_[static_cast<std::size_t>(worker)];
+  if (known.pending_sender == slot + 1) known.pending_sender = 0;
+  known.sessions[index_at_worker] = known.sessions.back();
+  balancer->sessions_[known.sessions[index_at_worker]].index_at_worker = index_at_worker;
+  known.sessions.pop_back();
 }
 
-void Host::Session::overload_reply(Time pause) {
-  final_answer();
+void BalancerProcess::Session::overload_reply(Time pause) {
+  record_final_answer();
   exchange = nullptr;
-  host->figures_.refused += 1;
-  host->note("refused", *this);
-  host->retries(*this, pause);
+  balancer->statistics_.refused += 1;
+  balancer->log_event("refused", *this);
+  balancer->retry_later(*this, pause);
 }
 
-void Host::Session::failed(std::string_view) {
-  final_answer();
+void BalancerProcess::Session::failed(std::string_view) {
+  record_final_answer();
   exchange = nullptr;
-  host->figures_.failed += 1;
-  host->note("failed", *this);
-  host->retries(*this, 0);
+  balancer->statistics_.failed += 1;
+  balancer->log_event("failed", *this);
+  balancer->retry_later(*this, 0);
 }
 
-void Host::Session::redirect() {
+void BalancerProcess::Session::redirect() {
   exchange = nullptr;
-  host->figures_.told += 1;
-  host->note("is told to move", *this);
-  if (host->planning_) {
-    host->figures_.moved.push_back(host->now());
-    if (client.moved_at >= 0 && host->now() - client.moved_at < host->scenario_.rebalance.min_move_interval)
-      host->rules_.broken(Rule::floor, host->now(), "client " + std::to_string(client.id));
+  balancer->statistics_.redirected += 1;
+  balancer->log_event("is told to move", *this);
+  if (balancer->planning_) {
+    balancer->statistics_.move_times.push_back(balancer->now());
+    if (client.moved_at >= 0 &&
+        balancer->now() - client.moved_at < balancer->scenario_.rebalance.min_move_interval)
+      balancer->rules_.record(Rule::move_interval, balancer->now(), "client " + std::to_string(client.id));
   }
-  client.moved_at = host->now();
-  if (!client.quic) return host->goes(*this, -1, true);
+  client.moved_at = balancer->now();
+  if (!client.quic) return balancer->reconnect_later(*this, -1, true);
   // Only its worker can move it: it does so a moment later, or not at all.
-  Stream own(host->seed_, Purpose::client, client.id, client.draws);
-  bool obeys = own.uniform() < host->scenario_.quic_obeys;
-  Time after = static_cast<Time>(own.exponential(0.5 * kSecond));
-  client.draws = own.count();
+  RandomStream rng(balancer->seed_, Purpose::client, client.id, client.rng_count);
+  bool obeys = rng.uniform() < balancer->scenario_.quic_obeys;
+  Time after = static_cast<Time>(rng.exponential(0.5 * kSecond));
+  client.rng_count = rng.count();
   moving = true;
   if (!obeys) return;  // it stays until it has no wish any more, unseen by this balancer
-  Event event = host->event_for(What::over);
+  Event event = balancer->make_event(EventType::attempt_ended);
   event.key = key();
   event.outcome = static_cast<std::uint8_t>(Outcome::served);
-  host->later(event, host->now() + after);
+  balancer->schedule(event, balancer->now() + after);
 }
 
-void Host::Session::ended(core::CloseKind) {
+void BalancerProcess::Session::ended(core::CloseKind) {
   exchange = nullptr;
-  host->note("is cut", *this);
-  host->goes(*this, -1, true);
+  balancer->log_event("is cut", *this);
+  balancer->reconnect_later(*this, -1, true);
 }
 
 }  // namespace marblehub::model
--- a/src/model/fleet.h
+++ b/src/model/fleet.h
@@ -7,21 +7,21 @@
 #include <string>
 #include <vector>
 
-#include "model/host.h"
+#include "model/balancer.h"
 
 namespace marblehub::model {
 
 struct Result {
   std::string scenario;
   std::uint64_t seed = 0;
-  std::map<std::string, double> figures;  // by name, as expectations name them
-  struct Moment {                         // every kSampleEvery
+  std::map<std::string, double> statistics;  // by name, as expectations name them
+  struct Snapshot {                          // every kSampleEvery
     double at = 0, gap = 0, highest = 0, lowest = 0, mean = 0;
     double moves = 0, store_calls = 0, connections = 0;  // since the last
     std::vector<std::pair<std::string, double>> kinds;   // mean load of each kind
   };
-  std::vector<Moment> moments;
-  Rules rules;
+  std::vector<Snapshot> snapshots;
+  RuleViolations rules;
   struct Verdict {
     std::string expected;
     double found = 0;
@@ -30,8 +30,8 @@
   std::vector<Verdict> verdicts;
   std::string log;  // of the events, where one was asked for
 
-  double figure(const std::string& name) const;  // 0 where there is none by that name
-  bool good() const;
+  double statistic(const std::string& name) const;  // 0 where there is none by that name
+  bool passed() const;
   std::string text() const;  // the same bytes for the same scenario and seed
 };
 
--- a/src/model/page.cpp
+++ b/src/model/html_report.cpp
@@ -39,60 +39,61 @@
 </body></html>
 )";
 
-using Pick = double (*)(const Result::Moment&);
+using Getter = double (*)(const Result::Snapshot&);
 
 // The mean over the seeds at each moment.
-std::vector<std::pair<double, double>> line(const Way& way, Pick pick) {
+std::vector<std::pair<double, double>> mean_curve(const Variant& variant, Getter getter) {
   std::vector<std::pair<double, double>> points;
-  for (std::size_t k = 0; k < way.results.front().moments.size(); ++k) {
+  for (std::size_t k = 0; k < variant.results.front().snapshots.size(); ++k) {
     double sum = 0;
-    for (const Result& r : way.results) sum += pick(r.moments[k]);
-    points.emplace_back(way.results.front().moments[k].at, sum / static_cast<double>(way.results.size()));
+    for (const Result& r : variant.results) sum += getter(r.snapshots[k]);
+    points.emplace_back(variant.results.front().snapshots[k].at,
+                        sum / static_cast<double>(variant.results.size()));
   }
   return points;
 }
 
-std::string plot(const std::vector<Way>& ways, Pick pick) {
-  double most = 0, end = 1;
+std::string plot(const std::vector<Variant>& variants, Getter getter) {
+  double max_y = 0, end = 1;
   std::vector<std::vector<std::pair<double, double>>> lines;
-  for (const Way& way : ways) {
-    lines.push_back(line(way, pick));
-    for (auto [x, y] : lines.back()) most = std::max(most, y), end = std::max(end, x);
+  for (const Variant& variant : variants) {
+    lines.push_back(mean_curve(variant, getter));
+    for (auto [x, y] : lines.back()) max_y = std::max(max_y, y), end = std::max(end, x);
   }
-  if (most <= 0) most = 1;
-  auto across = [&](double x) { return kLeft + x / end * (kWidth - kLeft - 8); };
-  auto up = [&](double y) { return kHeight - kBottom - y / most * (kHeight - kBottom - 10); };
+  if (max_y <= 0) max_y = 1;
+  auto x_position = [&](double x) { return kLeft + x / end * (kWidth - kLeft - 8); };
+  auto y_position = [&](double y) { return kHeight - kBottom - y / max_y * (kHeight - kBottom - 10); };
   std::string svg =
       fmt::format("<svg viewBox=\"0 0 {} {}\" width=\"{}\" role=\"img\">", kWidth, kHeight, kWidth);
   for (int i = 0; i <= 4; ++i) {
-    double y = most * i / 4, x = end * i / 4;
+    double y = max_y * i / 4, x = end * i / 4;
     svg += fmt::format("<line x1=\"{}\" x2=\"{}\" y1=\"{:.1f}\" y2=\"{:.1f}\" stroke=\"#ddd\"/>", kLeft,
-                       kWidth - 8, up(y), up(y));
-    svg +=
-        fmt::format("<text x=\"{}\" y=\"{:.1f}\" text-anchor=\"end\">{:.3g}</text>", kLeft - 6, up(y) + 4, y);
-    svg += fmt::format("<text x=\"{:.1f}\" y=\"{}\" text-anchor=\"middle\">{:.0f} s</text>", across(x),
+                       kWidth - 8, y_position(y), y_position(y));
+    svg += fmt::format("<text x=\"{}\" y=\"{:.1f}\" text-anchor=\"end\">{:.3g}</text>", kLeft - 6,
+                       y_position(y) + 4, y);
+    svg += fmt::format("<text x=\"{:.1f}\" y=\"{}\" text-anchor=\"middle\">{:.0f} s</text>", x_position(x),
                        kHeight - 8, x);
   }
   for (std::size_t w = 0; w < lines.size(); ++w) {
     svg += fmt::format("<polyline fill=\"none\" stroke-width=\"2\" stroke=\"{}\" points=\"", kColours[w % 6]);
-    for (auto [x, y] : lines[w]) svg += fmt::format("{:.1f},{:.1f} ", across(x), up(y));
+    for (auto [x, y] : lines[w]) svg += fmt::format("{:.1f},{:.1f} ", x_position(x), y_position(y));
     svg += "\"/>";
   }
   return svg + "</svg>";
 }
 
-data rows(const std::vector<Way>& ways, const std::vector<std::string>& figures) {
+data rows(const std::vector<Variant>& variants, const std::vector<std::string>& statistics) {
   data all{data::type::list};
-  for (const std::string& name : figures) {
+  for (const std::string& name : statistics) {
     data cells{data::type::list};
-    for (const Way& way : ways) {
+    for (const Variant& variant : variants) {
       data cell{data::type::object};
-      cell.set("mean", fmt::format("{:.5g}", way.estimate_of(name).mean));
-      if (&way != &ways.front()) {
-        Estimate other = way.less(ways.front(), name);
+      cell.set("mean", fmt::format("{:.5g}", variant.estimate_of(name).mean));
+      if (&variant != &variants.front()) {
+        Estimate paired = variant.paired_difference(variants.front(), name);
         data difference{data::type::object};
-        difference.set("text", fmt::format("{:+.4g} \u00b1 {:.2g}", other.mean, other.half));
-        difference.set("apart", data{other.apart() ? data::type::bool_true : data::type::bool_false});
+        difference.set("text", fmt::format("{:+.4g} \u00b1 {:.2g}", paired.mean, paired.half_width));
+        difference.set("apart", data{paired.significant() ? data::type::bool_true : data::type::bool_false});
         cell.set("difference", difference);
       }
       cells.push_back(cell);
@@ -105,19 +106,19 @@
   return all;
 }
 
-data verdicts(const std::vector<Way>& ways) {
+data verdicts(const std::vector<Variant>& variants) {
   data all{data::type::list};
-  for (const Way& way : ways)
-    for (std::size_t v = 0; v < way.results.front().verdicts.size(); ++v) {
-      auto held = std::count_if(way.results.begin(), way.results.end(),
+  for (const Variant& variant : variants)
+    for (std::size_t v = 0; v < variant.results.front().verdicts.size(); ++v) {
+      auto held = std::count_if(variant.results.begin(), variant.results.end(),
                                 [&](const Result& r) { return r.verdicts[v].holds; });
       data row{data::type::object};
-      row.set("way", way.name);
-      row.set("text", way.results.front().verdicts[v].expected);
+      row.set("way", variant.name);
+      row.set("text", variant.results.front().verdicts[v].expected);
       row.set("held", std::to_string(held));
-      row.set("all", std::to_string(way.results.size()));
-      bool bad = held != static_cast<std::ptrdiff_t>(way.results.size());
-      row.set("bad", data{bad ? data::type::bool_true : data::type::bool_false});
+      row.set("all", std::to_string(variant.results.size()));
+      bool failed = held != static_cast<std::ptrdiff_t>(variant.results.size());
+      row.set("bad", data{failed ? data::type::bool_true : data::type::bool_false});
       all.push_back(row);
     }
   return all;
@@ -125,36 +126,36 @@
 
 }  // namespace
 
-std::string page(const std::string& title, const std::vector<Way>& ways,
-                 const std::vector<std::string>& figures) {
+std::string html_report(const std::string& title, const std::vector<Variant>& variants,
+                        const std::vector<std::string>& statistics) {
   data names{data::type::list}, plots{data::type::list};
-  for (std::size_t w = 0; w < ways.size(); ++w) {
-    data way{data::type::object};
-    way.set("name", ways[w].name);
-    way.set("colour", kColours[w % 6]);
-    names.push_back(way);
+  for (std::size_t w = 0; w < variants.size(); ++w) {
+    data variant{data::type::object};
+    variant.set("name", variants[w].name);
+    variant.set("colour", kColours[w % 6]);
+    names.push_back(variant);
   }
-  const std::pair<const char*, Pick> shown[] = {
-      {"Gap: highest less lowest load a capacity", [](const Result::Moment& m) { return m.gap; }},
-      {"Load of the fullest worker", [](const Result::Moment& m) { return m.highest; }},
-      {"Moves for balance in 10 s", [](const Result::Moment& m) { return m.moves; }},
-      {"Session store calls in 10 s", [](const Result::Moment& m) { return m.store_calls; }},
-      {"Connections that stand", [](const Result::Moment& m) { return m.connections; }}};
-  for (const auto& [name, pick] : shown) {
-    data one{data::type::object};
-    one.set("name", name);
-    one.set("svg", plot(ways, pick));
-    plots.push_back(one);
+  const std::pair<const char*, Getter> shown[] = {
+      {"Gap: highest less lowest load a capacity", [](const Result::Snapshot& m) { return m.gap; }},
+      {"Load of the fullest worker", [](const Result::Snapshot& m) { return m.highest; }},
+      {"Moves for balance in 10 s", [](const Result::Snapshot& m) { return m.moves; }},
+      {"Session store calls in 10 s", [](const Result::Snapshot& m) { return m.store_calls; }},
+      {"Connections that stand", [](const Result::Snapshot& m) { return m.connections; }}};
+  for (const auto& [name, getter] : shown) {
+    data plotted{data::type::object};
+    plotted.set("name", name);
+    plotted.set("svg", plot(variants, getter));
+    plots.push_back(plotted);
   }
   data all{data::type::object};
   all.set("title", title);
-  all.set("seeds", std::to_string(ways.front().results.size()));
+  all.set("seeds", std::to_string(variants.front().results.size()));
   all.set("ways", names);
-  all.set("rows", rows(ways, figures));
+  all.set("rows", rows(variants, statistics));
   all.set("plots", plots);
-  all.set("verdicts", verdicts(ways));
-  mustache form(kTemplate);
-  return form.render(all);
+  all.set("verdicts", verdicts(variants));
+  mustache document(kTemplate);
+  return document.render(all);
 }
 
 }  // namespace marblehub::model
--- a/src/model/random.h
+++ b/src/model/random.h
@@ -13,19 +13,19 @@
 
 enum class Purpose : std::uint32_t {
   client = 1,
-  spawn = 2,
+  arrival = 2,
   network = 3,
   worker = 5,
   report = 7,
-  placing = 8,
+  placement = 8,
   choice = 9,
-  module = 11
+  policy = 11
 };
 
-class Stream {
+class RandomStream {
  public:
   // `count` is where the stream goes on: an entity that is copied elsewhere carries it along.
-  Stream(std::uint64_t seed, Purpose purpose, std::uint64_t entity, std::uint32_t count = 0)
+  RandomStream(std::uint64_t seed, Purpose purpose, std::uint64_t entity, std::uint32_t count = 0)
       : key_{{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32)}},
         entity_(entity),
         purpose_(static_cast<std::uint32_t>(purpose)),
--- a/src/model/rules.h
+++ b/src/model/rules.h
@@ -6,68 +6,68 @@
 #include <string>
 #include <vector>
 
-#include "model/lanes.h"
+#include "model/engine.h"
 
 namespace marblehub::model {
 
 enum class Rule {
-  one_answer,      // exactly one final answer a call
-  in_time,         // and before the client gives up
-  one_at_a_time,   // no two attempts of a call are out at once
-  four_attempts,   // no more than the scenario allows, four at most
-  drained,         // nothing new to a worker 250 ms after its drain or end was told
-  cold_fell,       // no cold worker pushed over
-  floor,           // no client moved for balance twice within the floor
-  balancer_limit,  // moves for balance of one balancer in any minute
-  fleet_limit,     // of all balancers in any minute
+  one_answer,              // exactly one final answer a call
+  answer_in_time,          // and before the client gives up
+  one_attempt_at_a_time,   // no two attempts of a call are out at once
+  attempt_limit,           // no more than the scenario allows, four at most
+  no_attempt_after_drain,  // nothing new to a worker 250 ms after its drain or end was told
+  cold_crash,              // no cold worker pushed over
+  move_interval,           // no client moved for balance twice within the floor
+  balancer_limit,          // moves for balance of one balancer in any minute
+  fleet_limit,             // of all balancers in any minute
 };
-constexpr int kRules = 9;
-constexpr Time kDrainBound = 250 * kMillisecond;
+constexpr int kRuleCount = 9;
+constexpr Time kDrainGracePeriod = 250 * kMillisecond;
 
 inline const char* name_of(Rule rule) {
-  static const char* const names[kRules] = {"one answer", "in time",        "one at a time",
-                                            "attempts",   "drained",        "cold fell",
-                                            "floor",      "balancer limit", "fleet limit"};
+  static const char* const names[kRuleCount] = {"one answer", "in time",        "one at a time",
+                                                "attempts",   "drained",        "cold fell",
+                                                "floor",      "balancer limit", "fleet limit"};
   return names[static_cast<int>(rule)];
 }
 
-class Rules {
+class RuleViolations {
  public:
-  void broken(Rule rule, Time when, const std::string& how) {
+  void record(Rule rule, Time when, const std::string& detail) {
     counts_[static_cast<std::size_t>(rule)] += 1;
-    if (first_.size() < 20) first_.push_back({rule, when, how});
+    if (first_violations_.size() < 20) first_violations_.push_back({rule, when, detail});
   }
-  struct Breach {
+  struct Violation {
     Rule rule;
     Time when;
-    std::string how;
+    std::string detail;
   };
-  void add(const Rules& other) {
-    for (std::size_t i = 0; i < kRules; ++i) counts_[i] += other.counts_[i];
-    for (const Breach& breach : other.first_)
-      if (first_.size() < 20) first_.push_back(breach);
+  void add(const RuleViolations& other) {
+    for (std::size_t i = 0; i < kRuleCount; ++i) counts_[i] += other.counts_[i];
+    for (const Violation& violation : other.first_violations_)
+      if (first_violations_.size() < 20) first_violations_.push_back(violation);
   }
   long count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
-  long all() const {
+  long total() const {
     long sum = 0;
     for (long n : counts_) sum += n;
     return sum;
   }
-  const std::vector<Breach>& first() const { return first_; }
+  const std::vector<Violation>& first_violations() const { return first_violations_; }
 
  private:
-  long counts_[kRules] = {};
-  std::vector<Breach> first_;
+  long counts_[kRuleCount] = {};
+  std::vector<Violation> first_violations_;
 };
 
 // The most that fell within any `span`, of times in order. [t, t + span) for every t among them.
-inline std::size_t most_within(const std::vector<Time>& times, Time span) {
-  std::size_t most = 0;
+inline std::size_t max_count_within(const std::vector<Time>& times, Time span) {
+  std::size_t max_count = 0;
   for (std::size_t from = 0, to = 0; to < times.size(); ++to) {
     while (times[to] - times[from] >= span) ++from;
-    most = std::max(most, to - from + 1);
+    max_count = std::max(max_count, to - from + 1);
   }
-  return most;
+  return max_count;
 }
 
 }  // namespace marblehub::model
--- a/src/model/study.cpp
+++ b/src/model/study.cpp
@@ -10,7 +10,7 @@
 
 namespace marblehub::model {
 
-const std::vector<std::string> kFigures = {
+const std::vector<std::string> kComparedStatistics = {
     "served share", "without share",     "mean gap",     "moves",
     "store calls",  "store wait ms",     "refused",      "failed",
     "workers fell", "cold workers fell", "set up ms 99", "moves in any minute",
@@ -26,7 +26,7 @@
   double squares = 0;
   for (double value : values) squares += (value - e.mean) * (value - e.mean);
   boost::math::students_t t(n - 1);
-  e.half = boost::math::quantile(t, 0.975) * std::sqrt(squares / (n - 1) / n);
+  e.half_width = boost::math::quantile(t, 0.975) * std::sqrt(squares / (n - 1) / n);
   return e;
 }
 
@@ -37,7 +37,7 @@
   std::size_t finished = 0;
   std::mutex mutex;
   std::exception_ptr error;
-  auto work = [&] {
+  auto run_jobs = [&] {
     for (std::size_t i; (i = next.fetch_add(1)) < jobs.size();) {
       try {
         results[i] = run(jobs[i].scenario, {.seed = jobs[i].seed});
@@ -51,42 +51,43 @@
       if (done) done(++finished, jobs.size());
     }
   };
-  std::vector<std::thread> others;
-  for (int i = 1; i < threads; ++i) others.emplace_back(work);
-  work();
-  for (std::thread& other : others) other.join();
+  std::vector<std::thread> workers;
+  for (int i = 1; i < threads; ++i) workers.emplace_back(run_jobs);
+  run_jobs();
+  for (std::thread& other : workers) other.join();
   if (error) std::rethrow_exception(error);
   return results;
 }
 
-Estimate Way::estimate_of(const std::string& figure) const {
+Estimate Variant::estimate_of(const std::string& statistic) const {
   std::vector<double> values;
-  for (const Result& r : results) values.push_back(r.figure(figure));
+  for (const Result& r : results) values.push_back(r.statistic(statistic));
   return estimate(values);
 }
 
-Estimate Way::less(const Way& other, const std::string& figure) const {
+Estimate Variant::paired_difference(const Variant& other, const std::string& statistic) const {
   std::vector<double> differences;
   for (std::size_t i = 0; i < results.size(); ++i)
-    differences.push_back(results[i].figure(figure) - other.results[i].figure(figure));
+    differences.push_back(results[i].statistic(statistic) - other.results[i].statistic(statistic));
   return estimate(differences);
 }
 
-std::string table(const std::vector<Way>& ways, const std::vector<std::string>& figures) {
+std::string table(const std::vector<Variant>& variants, const std::vector<std::string>& statistics) {
   std::string out = fmt::format("{:<22}", "");
-  for (const Way& way : ways) out += fmt::format(" {:>26}", way.name);
+  for (const Variant& variant : variants) out += fmt::format(" {:>26}", variant.name);
   out += "\n";
-  for (const std::string& name : figures) {
+  for (const std::string& name : statistics) {
     std::string line = fmt::format("{:<22}", name);
-    for (const Way& way : ways) {
-      Estimate e = way.estimate_of(name);
-      line += fmt::format(" {:>26}", fmt::format("{:.5g} +- {:.2g}", e.mean, e.half));
+    for (const Variant& variant : variants) {
+      Estimate e = variant.estimate_of(name);
+      line += fmt::format(" {:>26}", fmt::format("{:.5g} +- {:.2g}", e.mean, e.half_width));
     }
     out += line + "\n";
-    for (std::size_t w = 1; w < ways.size(); ++w) {
-      Estimate e = ways[w].less(ways[0], name);
-      if (e.apart())
-        out += fmt::format("  {} less {}: {:.4g} +- {:.2g}\n", ways[w].name, ways[0].name, e.mean, e.half);
+    for (std::size_t w = 1; w < variants.size(); ++w) {
+      Estimate e = variants[w].paired_difference(variants[0], name);
+      if (e.significant())
+        out += fmt::format("  {} less {}: {:.4g} +- {:.2g}\n", variants[w].name, variants[0].name, e.mean,
+                           e.half_width);
     }
   }
   return out;
--- a/src/model/worker.cpp
+++ b/src/model/worker.cpp
@@ -12,26 +12,26 @@
 using marblehub::policy::Health;
 using marblehub::policy::Outcome;
 
-constexpr double kExtraMemory = 1e6;  // microseconds over which set-ups and probes are averaged
-constexpr double kMostLoad = 20;      // as a report says it
-constexpr Time kReportStep = 20 * kMillisecond;
+constexpr double kWorkAveragingTime = 1e6;  // microseconds over which set-ups and probes are averaged
+constexpr double kMaxReportedLoad = 20;     // as a report says it
+constexpr Time kHistoryStep = 20 * kMillisecond;
 
 }  // namespace
 
 Client new_client(const Scenario& scenario, std::uint64_t seed, std::uint32_t id, Time now) {
   Client client;
   client.id = id;
-  Stream own(seed, Purpose::client, id);
-  client.load = static_cast<float>(scenario.load * own.lognormal(scenario.spread));
-  if (own.uniform() < scenario.heavy_share) client.load *= static_cast<float>(scenario.heavy_times);
-  client.quic = own.uniform() < scenario.quic_share;
-  double group = own.uniform();
+  RandomStream rng(seed, Purpose::client, id);
+  client.load = static_cast<float>(scenario.load * rng.lognormal(scenario.load_sigma));
+  if (rng.uniform() < scenario.heavy_share) client.load *= static_cast<float>(scenario.heavy_factor);
+  client.quic = rng.uniform() < scenario.quic_share;
+  double group = rng.uniform();
   auto small = static_cast<std::uint64_t>(std::max(1, scenario.groups - 1));
   if (scenario.groups > 0)
-    client.group = group < scenario.big_group ? 1 : 2 + static_cast<std::uint32_t>(own.below(small));
-  client.until = now + static_cast<Time>(own.exponential(scenario.stay) * 1e6);
-  client.wanting_since = now;
-  client.draws = own.count();
+    client.group = group < scenario.big_group_share ? 1 : 2 + static_cast<std::uint32_t>(rng.below(small));
+  client.departs_at = now + static_cast<Time>(rng.exponential(scenario.mean_stay) * 1e6);
+  client.state_since = now;
+  client.rng_count = rng.count();
   return client;
 }
 
@@ -41,268 +41,277 @@
     : scenario_(scenario),
       kind_(scenario.kind_of(number)),
       number_(number),
-      reports_(seed, Purpose::report, static_cast<std::uint64_t>(number)),
-      phase_(Stream(seed, Purpose::worker, static_cast<std::uint64_t>(number)).uniform()) {
-  up_ = kind_.from == 0;
+      report_rng_(seed, Purpose::report, static_cast<std::uint64_t>(number)),
+      wave_phase_(RandomStream(seed, Purpose::worker, static_cast<std::uint64_t>(number)).uniform()) {
+  up_ = kind_.starts_at == 0;
 }
 
-double Worker::warmth(Time now) const {
-  return marblehub::policy::slow_start_factor(started_, now, scenario_.cold_share, scenario_.warm_within);
+double Worker::slow_start(Time now) const {
+  return marblehub::policy::slow_start_factor(started_, now, scenario_.cold_share, scenario_.warm_up_time);
 }
 
-double Worker::capacity(Time now) const { return kind_.cores * kind_.speed * slow_ * warmth(now) * 1e6; }
+double Worker::capacity(Time now) const {
+  return kind_.cores * kind_.speed * speed_factor_ * slow_start(now) * 1e6;
+}
 
 double Worker::demand(Time now) const {
   double wave = 1;
-  if (scenario_.wave > 0) {
-    double turns = static_cast<double>(now) / static_cast<double>(scenario_.wave_period) + phase_;
-    wave += scenario_.wave * std::sin(6.283185307179586 * turns);
+  if (scenario_.wave_amplitude > 0) {
+    double cycles = static_cast<double>(now) / static_cast<double>(scenario_.wave_period) + wave_phase_;
+    wave += scenario_.wave_amplitude * std::sin(6.283185307179586 * cycles);
   }
-  return asked_ * wave + static_cast<double>(groups_.size()) * scenario_.group_work;
+  return connection_demand_ * wave + static_cast<double>(groups_.size()) * scenario_.group_work;
 }
 
 void Worker::advance(Time now) {
-  double seconds = static_cast<double>(now - advanced_) / 1e6;
+  double seconds = static_cast<double>(now - advanced_to_) / 1e6;
   if (seconds <= 0) return;
-  double can = capacity(now), wants = demand(now);
+  double available = capacity(now), required = demand(now);
   if (up_ && !hung_) {
-    backlog_ = std::max(0.0, backlog_ + (wants - can) * seconds);
-    double late = static_cast<double>(delay(now)), aim = static_cast<double>(scenario_.aim);
-    double worth = late <= aim ? 1 : std::max(0.0, 1 - (late - aim) / (3 * aim));
-    figures_.served += seconds * static_cast<double>(standing_) * worth;
+    backlog_ = std::max(0.0, backlog_ + (required - available) * seconds);
+    double delay_us = static_cast<double>(message_delay(now)),
+           objective = static_cast<double>(scenario_.message_objective);
+    double timeliness =
+        delay_us <= objective ? 1 : std::max(0.0, 1 - (delay_us - objective) / (3 * objective));
+    statistics_.served_seconds += seconds * static_cast<double>(established_count_) * timeliness;
   }
-  extra_ *= std::exp(-seconds * 1e6 / kExtraMemory);
-  advanced_ = now;
-  if (now - told_[told_at_].first >= kReportStep) {
-    told_at_ = (told_at_ + 1) % told_.size();
-    told_[told_at_] = {now, load(now)};
+  recent_work_ *= std::exp(-seconds * 1e6 / kWorkAveragingTime);
+  advanced_to_ = now;
+  if (now - load_history_[history_index_].first >= kHistoryStep) {
+    history_index_ = (history_index_ + 1) % load_history_.size();
+    load_history_[history_index_] = {now, load(now)};
   }
 }
 
-double Worker::wait(Time now) const { return backlog_ / capacity(now); }
+double Worker::queue_wait(Time now) const { return backlog_ / capacity(now); }
 
-double Worker::load(Time now) const { return (demand(now) + extra_) / capacity(now) + wait(now); }
+double Worker::load(Time now) const { return (demand(now) + recent_work_) / capacity(now) + queue_wait(now); }
 
 // The waiting of a queue with one service time, bounded near saturation, and what has piled up.
-Time Worker::delay(Time now) const {
-  double used = std::min(0.98, (demand(now) + extra_) / capacity(now));
-  double service = static_cast<double>(scenario_.service);
-  return static_cast<Time>(service * (1 + used / (2 * (1 - used))) + wait(now) * 1e6);
+Time Worker::message_delay(Time now) const {
+  double utilization = std::min(0.98, (demand(now) + recent_work_) / capacity(now));
+  double service = static_cast<double>(scenario_.service_time);
+  return static_cast<Time>(service * (1 + utilization / (2 * (1 - utilization))) + queue_wait(now) * 1e6);
 }
 
-void Worker::add(std::uint64_t key, float load, std::uint32_t group) { held_[key] = {load, group, false}; }
+void Worker::add(std::uint64_t key, float load, std::uint32_t group) {
+  connections_[key] = {load, group, false};
+}
 
-void Worker::stands(Standing& standing) {
-  standing.stands = true;
-  standing_ += 1;
-  asked_ += standing.load;
-  if (standing.group != 0) groups_[standing.group] += 1;
+void Worker::mark_established(Connection& connection) {
+  connection.established = true;
+  established_count_ += 1;
+  connection_demand_ += connection.load;
+  if (connection.group != 0) groups_[connection.group] += 1;
 }
 
 void Worker::remove(std::uint64_t key) {
-  auto it = held_.find(key);
-  if (it == held_.end()) return;
-  if (it->second.stands) {
-    standing_ -= 1;
-    asked_ = standing_ == 0 ? 0 : std::max(0.0, asked_ - it->second.load);
+  auto it = connections_.find(key);
+  if (it == connections_.end()) return;
+  if (it->second.established) {
+    established_count_ -= 1;
+    connection_demand_ = established_count_ == 0 ? 0 : std::max(0.0, connection_demand_ - it->second.load);
     std::uint32_t group = it->second.group;
     if (group != 0 && --groups_[group] <= 0) groups_.erase(group);
   }
-  held_.erase(it);
+  connections_.erase(it);
 }
 
 // ---- Those on a lane ---------------------------------------------------------------------------------
 
-void WorkerLane::begin() {
-  net_ = Stream(seed_, Purpose::network, 1'000'000 + number());
+void WorkerProcess::start() {
+  network_rng_ = RandomStream(seed_, Purpose::network, 1'000'000 + number());
   for (Worker* w : workers_) {
     if (!w) continue;
     Event event;
-    event.lane = number();
+    event.process = number();
     event.worker = static_cast<std::uint32_t>(w->number_);
-    event.what = What::sample;
-    later(event, 0);
-    if (w->kind_.from > 0) {
-      event.what = What::starts;
-      later(event, w->kind_.from);
+    event.type = EventType::load_sample;
+    schedule(event, 0);
+    if (w->kind_.starts_at > 0) {
+      event.type = EventType::worker_start;
+      schedule(event, w->kind_.starts_at);
     }
   }
 }
 
-void WorkerLane::stands_already(int worker, std::uint64_t key, const Client& client) {
+void WorkerProcess::add_initial_connection(int worker, std::uint64_t key, const Client& client) {
   Worker& w = *workers_.at(static_cast<std::size_t>(worker));
   w.add(key, client.load, client.group);
-  w.stands(w.held_[key]);
+  w.mark_established(w.connections_[key]);
 }
 
-double WorkerLane::report(Worker& w) {
-  Time age = static_cast<Time>(w.reports_.uniform() * static_cast<double>(scenario_.report_late));
-  double told = w.load(now());
-  for (std::size_t i = 0; i < w.told_.size(); ++i) {
-    const auto& [when, load] = w.told_[(w.told_at_ + w.told_.size() - i) % w.told_.size()];
+double WorkerProcess::reported_load(Worker& w) {
+  Time age = static_cast<Time>(w.report_rng_.uniform() * static_cast<double>(scenario_.max_report_age));
+  double reported = w.load(now());
+  for (std::size_t i = 0; i < w.load_history_.size(); ++i) {
+    const auto& [when, load] =
+        w.load_history_[(w.history_index_ + w.load_history_.size() - i) % w.load_history_.size()];
     if (when > now()) continue;
-    told = load;
+    reported = load;
     if (when <= now() - age) break;
   }
-  if (scenario_.report_noise > 0) told *= std::max(0.0, 1 + scenario_.report_noise * w.reports_.normal());
-  return std::min(told, kMostLoad);
+  if (scenario_.report_noise > 0)
+    reported *= std::max(0.0, 1 + scenario_.report_noise * w.report_rng_.normal());
+  return std::min(reported, kMaxReportedLoad);
 }
 
-void WorkerLane::reply(const Event& to, What what, Outcome outcome, double value, Time after) {
+void WorkerProcess::reply(const Event& to, EventType type, Outcome outcome, double value, Time after) {
   Event event;
-  event.lane = places_.hosts[to.host];
-  event.what = what;
+  event.process = topology_.balancers[to.balancer];
+  event.type = type;
   event.outcome = static_cast<std::uint8_t>(outcome);
-  event.host = to.host;
+  event.balancer = to.balancer;
   event.worker = to.worker;
   event.key = to.key;
   event.time = to.time;
   event.value = value;
-  later(event, now() + after + hop());
+  schedule(event, now() + after + hop_delay());
 }
 
-void WorkerLane::tell_list(const Worker& w, Health health) {
-  for (std::uint32_t host = 0; host < places_.hosts.size(); ++host) {
+void WorkerProcess::send_endpoint_update(const Worker& w, Health health) {
+  for (std::uint32_t balancer = 0; balancer < topology_.balancers.size(); ++balancer) {
     Event event;
-    event.lane = places_.hosts[host];
-    event.what = What::listed;
+    event.process = topology_.balancers[balancer];
+    event.type = EventType::endpoint_update;
     event.outcome = static_cast<std::uint8_t>(health);
-    event.host = host;
+    event.balancer = balancer;
     event.worker = static_cast<std::uint32_t>(w.number_);
     event.time = w.started_;
     event.key = static_cast<std::uint64_t>(now());
-    double late =
-        net_.between(static_cast<double>(scenario_.list_least), static_cast<double>(scenario_.list_most));
-    later(event, now() + std::max(scenario_.hop, static_cast<Time>(late)));
+    double delay_us = network_rng_.between(static_cast<double>(scenario_.min_list_delay),
+                                           static_cast<double>(scenario_.max_list_delay));
+    schedule(event, now() + std::max(scenario_.hop_delay, static_cast<Time>(delay_us)));
   }
 }
 
-void WorkerLane::set_up(Worker& w, const Event& event) {
-  if (!w.up_) return reply(event, What::over, Outcome::connect_failed);
+void WorkerProcess::handle_setup(Worker& w, const Event& event) {
+  if (!w.up_) return reply(event, EventType::attempt_ended, Outcome::connect_failed);
   if (w.hung_) return;
-  double waits = w.wait(now()) * 1e6;
-  bool full = (w.kind_.most > 0 && w.held_.size() >= static_cast<std::size_t>(w.kind_.most)) ||
-              waits > static_cast<double>(w.kind_.queue);
-  if (full) return reply(event, What::over, Outcome::full, report(w));
+  double wait_us = w.queue_wait(now()) * 1e6;
+  bool full = (w.kind_.max_connections > 0 &&
+               w.connections_.size() >= static_cast<std::size_t>(w.kind_.max_connections)) ||
+              wait_us > static_cast<double>(w.kind_.max_queue_wait);
+  if (full) return reply(event, EventType::attempt_ended, Outcome::full, reported_load(w));
   w.backlog_ += scenario_.setup_work;
-  w.extra_ += scenario_.setup_work;
+  w.recent_work_ += scenario_.setup_work;
   w.add(event.key, event.client.load, event.client.group);
   Event call = event;
-  call.lane = places_.store;
-  call.what = What::store;
+  call.process = topology_.store;
+  call.type = EventType::store_request;
   call.time = number();  // where the answer goes
-  later(call, now() + static_cast<Time>(waits) + scenario_.service + hop());
+  schedule(call, now() + static_cast<Time>(wait_us) + scenario_.service_time + hop_delay());
 }
 
-void WorkerLane::stop(Worker& w, bool fell) {
+void WorkerProcess::stop_worker(Worker& w, bool crashed) {
   w.up_ = false;
-  w.backlog_ = 0, w.extra_ = 0;
+  w.backlog_ = 0, w.recent_work_ = 0;
   std::vector<std::uint64_t> keys;
-  for (auto& [key, standing] : w.held_) keys.push_back(key);
+  for (auto& [key, connection] : w.connections_) keys.push_back(key);
   std::sort(keys.begin(), keys.end());  // the order of a hash table is not to be seen in the result
   for (std::uint64_t key : keys) {
-    bool stood = w.held_[key].stands;
-    w.figures_.cut += stood;
+    bool was_established = w.connections_[key].established;
+    w.statistics_.cut_connections += was_established;
     w.remove(key);
     Event to;
-    to.host = static_cast<std::uint32_t>(key >> 48);
+    to.balancer = static_cast<std::uint32_t>(key >> 48);
     to.worker = static_cast<std::uint32_t>(w.number_);
     to.key = key;
-    reply(to, What::over, Outcome::reset);
+    reply(to, EventType::attempt_ended, Outcome::reset);
   }
-  if (fell) {
-    w.figures_.fell += 1;
-    w.figures_.fell_cold += w.warmth(now()) < 1;
+  if (crashed) {
+    w.statistics_.crashes += 1;
+    w.statistics_.cold_crashes += w.slow_start(now()) < 1;
   }
-  tell_list(w, Health::deleted);
+  send_endpoint_update(w, Health::deleted);
 }
 
-void WorkerLane::start(Worker& w) {
+void WorkerProcess::start_worker(Worker& w) {
   w.up_ = true;
   w.draining_ = w.hung_ = false;
   w.started_ = now();
   w.backlog_ = 0;
-  tell_list(w, Health::serving);
+  send_endpoint_update(w, Health::serving);
 }
 
-void WorkerLane::happens(const Event& event) {
+void WorkerProcess::handle(const Event& event) {
   if (event.worker >= workers_.size() || !workers_[event.worker])
     throw std::logic_error("an event for a worker of another lane");
   Worker& w = *workers_[event.worker];
   w.advance(now());
-  if (w.up_ && !w.hung_ && w.wait(now()) * 1e6 > static_cast<double>(scenario_.falls_over)) {
-    stop(w, true);
-    Event back;
-    back.lane = number();
-    back.worker = event.worker;
-    back.what = What::starts;
-    later(back, now() + scenario_.back_after);
+  if (w.up_ && !w.hung_ && w.queue_wait(now()) * 1e6 > static_cast<double>(scenario_.crash_wait)) {
+    stop_worker(w, true);
+    Event restart;
+    restart.process = number();
+    restart.worker = event.worker;
+    restart.type = EventType::worker_start;
+    schedule(restart, now() + scenario_.restart_delay);
   }
-  switch (event.what) {
-    case What::setup:
-      return set_up(w, event);
-    case What::stored: {
-      auto it = w.held_.find(event.key);
-      if (!w.up_ || it == w.held_.end()) return;
+  switch (event.type) {
+    case EventType::setup_request:
+      return handle_setup(w, event);
+    case EventType::store_reply: {
+      auto it = w.connections_.find(event.key);
+      if (!w.up_ || it == w.connections_.end()) return;
       Event ready = event;
-      ready.lane = number();
-      ready.what = What::ready;
-      return later(ready, now() + w.delay(now()));
+      ready.process = number();
+      ready.type = EventType::setup_done;
+      return schedule(ready, now() + w.message_delay(now()));
     }
-    case What::ready: {
-      auto it = w.held_.find(event.key);
-      if (!w.up_ || w.hung_ || it == w.held_.end() || it->second.stands) return;
-      w.stands(it->second);
-      return reply(event, What::up, Outcome::served);
+    case EventType::setup_done: {
+      auto it = w.connections_.find(event.key);
+      if (!w.up_ || w.hung_ || it == w.connections_.end() || it->second.established) return;
+      w.mark_established(it->second);
+      return reply(event, EventType::attempt_established, Outcome::served);
     }
-    case What::gone:
+    case EventType::connection_closed:
       w.remove(event.key);
       return;
-    case What::probe:
-      if (!w.up_) return reply(event, What::probed, Outcome::connect_failed);
+    case EventType::probe_request:
+      if (!w.up_) return reply(event, EventType::probe_reply, Outcome::connect_failed);
       w.backlog_ += scenario_.probe_work;
-      w.extra_ += scenario_.probe_work;
+      w.recent_work_ += scenario_.probe_work;
       // A hung one still answers shallow probes: its event loop runs, its work does not.
-      return reply(event, What::probed, Outcome::served, report(w));
-    case What::message:
+      return reply(event, EventType::probe_reply, Outcome::served, reported_load(w));
+    case EventType::message_request:
       if (!w.up_ || w.hung_) return;
-      return reply(event, What::answered, Outcome::served, -1, w.delay(now()));
-    case What::sample: {
+      return reply(event, EventType::message_reply, Outcome::served, -1, w.message_delay(now()));
+    case EventType::load_sample: {
       w.samples_.push_back(
-          {static_cast<float>(w.up_ && !w.draining_ ? std::min(w.load(now()), kMostLoad) : -1),
-           static_cast<float>(w.capacity(now())), static_cast<std::uint32_t>(w.standing_)});
+          {static_cast<float>(w.up_ && !w.draining_ ? std::min(w.load(now()), kMaxReportedLoad) : -1),
+           static_cast<float>(w.capacity(now())), static_cast<std::uint32_t>(w.established_count_)});
       Event next = event;
-      return later(next, now() + kSampleEvery);
+      return schedule(next, now() + kSampleEvery);
     }
-    case What::drains: {
+    case EventType::drain_start: {
       w.draining_ = true;
-      tell_list(w, Health::draining);
+      send_endpoint_update(w, Health::draining);
       Event end = event;
-      end.what = What::stops;
-      return later(end, now() + event.time);
+      end.type = EventType::worker_stop;
+      return schedule(end, now() + event.time);
     }
-    case What::stops:
-      if (w.up_) stop(w, false);
+    case EventType::worker_stop:
+      if (w.up_) stop_worker(w, false);
       return;
-    case What::starts:
-      return start(w);
-    case What::hangs: {
+    case EventType::worker_start:
+      return start_worker(w);
+    case EventType::hang_start: {
       w.hung_ = true;
       if (event.time <= 0) return;
       Event end = event;
-      end.what = What::resumes;
-      return later(end, now() + event.time);
+      end.type = EventType::hang_end;
+      return schedule(end, now() + event.time);
     }
-    case What::resumes:
+    case EventType::hang_end:
       w.hung_ = false;
       return;
-    case What::slows: {
-      double before = w.slow_;
-      w.slow_ = event.value;
+    case EventType::speed_change: {
+      double before = w.speed_factor_;
+      w.speed_factor_ = event.value;
       if (event.time <= 0) return;
       Event end = event;
       end.value = before, end.time = 0;
-      return later(end, now() + event.time);
+      return schedule(end, now() + event.time);
     }
     default:
       throw std::logic_error("an event that no worker knows");
@@ -311,19 +320,19 @@
 
 // ---- The session store -------------------------------------------------------------------------------
 
-void Store::happens(const Event& event) {
-  all_ += 1;
+void Store::handle(const Event& event) {
+  total_calls_ += 1;
   auto slot = static_cast<std::size_t>(now() / kSampleEvery);
   if (calls_.size() <= slot) calls_.resize(slot + 1);
   calls_[slot] += 1;
-  Time takes = scenario_.store_rate > 0 ? static_cast<Time>(1e6 / scenario_.store_rate) : 0;
-  free_at_ = std::max(free_at_, now()) + takes;
+  Time service_time = scenario_.store_rate > 0 ? static_cast<Time>(1e6 / scenario_.store_rate) : 0;
+  free_at_ = std::max(free_at_, now()) + service_time;
   Time waited = free_at_ - now();
-  longest_ = std::max(longest_, waited);
+  max_wait_ = std::max(max_wait_, waited);
   Event done = event;
-  done.lane = static_cast<std::uint32_t>(event.time);  // where the worker is
-  done.what = What::stored;
-  later(done, now() + std::max(scenario_.hop, waited + scenario_.store_time));
+  done.process = static_cast<std::uint32_t>(event.time);  // where the worker is
+  done.type = EventType::store_reply;
+  schedule(done, now() + std::max(scenario_.hop_delay, waited + scenario_.store_time));
 }
 
 }  // namespace marblehub::model
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -6,14 +6,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "model/lanes.h"
+#include "model/engine.h"
 #include "model/random.h"
 #include "model/scenario.h"
 
 namespace marblehub::model {
 
-struct Places {  // which lane is whose, and what the workers are called
-  std::vector<std::uint32_t> hosts, workers;
+struct Topology {  // which lane is whose, and what the workers are called
+  std::vector<std::uint32_t> balancers, workers;
   std::uint32_t store = 0;
   std::vector<std::string> names;                // of the workers, by number
   std::unordered_map<std::string, int> numbers;  // and back
@@ -23,12 +23,12 @@
 Client new_client(const Scenario& scenario, std::uint64_t seed, std::uint32_t id, Time now);
 
 // One way through the net.
-inline Time hop_time(const Scenario& scenario, Stream& net) {
-  return scenario.hop + static_cast<Time>(net.uniform() * static_cast<double>(scenario.jitter));
+inline Time random_hop_delay(const Scenario& scenario, RandomStream& rng) {
+  return scenario.hop_delay + static_cast<Time>(rng.uniform() * static_cast<double>(scenario.hop_jitter));
 }
 
 struct Sample {        // of one worker, every kSampleEvery
-  float level = 0;     // load over capacity; negative: it does not serve
+  float load = 0;      // load over capacity; negative: it does not serve
   float capacity = 0;  // microseconds of work a second
   std::uint32_t connections = 0;
 };
@@ -38,99 +38,102 @@
  public:
   Worker(const Scenario& scenario, int number, std::uint64_t seed);
 
-  struct Figures {
-    double served = 0;  // connection-seconds, weighted by how timely messages were
-    long cut = 0;
-    int fell = 0, fell_cold = 0;
+  struct Statistics {
+    double served_seconds = 0;  // connection-seconds, weighted by how timely messages were
+    long cut_connections = 0;
+    int crashes = 0, cold_crashes = 0;
   };
-  const Figures& figures() const { return figures_; }
+  const Statistics& statistics() const { return statistics_; }
   const std::vector<Sample>& samples() const { return samples_; }
 
  private:
-  friend class WorkerLane;
-  struct Standing {
+  friend class WorkerProcess;
+  struct Connection {
     float load = 0;
     std::uint32_t group = 0;
-    bool stands = false;
+    bool established = false;
   };
 
   void advance(Time now);
-  double warmth(Time now) const;
-  double capacity(Time now) const;  // microseconds of work a second
-  double demand(Time now) const;    // of the standing connections and their groups
-  double wait(Time now) const;      // seconds until new work is begun
-  Time delay(Time now) const;       // of a message
+  double slow_start(Time now) const;
+  double capacity(Time now) const;     // microseconds of work a second
+  double demand(Time now) const;       // of the standing connections and their groups
+  double queue_wait(Time now) const;   // seconds until new work is begun
+  Time message_delay(Time now) const;  // of a message
   double load(Time now) const;
   void add(std::uint64_t key, float load, std::uint32_t group);
   void remove(std::uint64_t key);
-  void stands(Standing& standing);
+  void mark_established(Connection& connection);
 
   const Scenario& scenario_;
-  const Kind& kind_;
+  const WorkerKind& kind_;
   const int number_;
-  Stream reports_;
-  const double phase_;
+  RandomStream report_rng_;
+  const double wave_phase_;
   bool up_ = true, hung_ = false, draining_ = false;
-  double slow_ = 1;
+  double speed_factor_ = 1;
   Time started_ = 0;  // 0: warm since long ago
-  Time advanced_ = 0;
-  double backlog_ = 0;  // microseconds of work
-  double asked_ = 0;    // by the standing connections
-  double extra_ = 0;    // work of set-ups and probes in about the last second
-  std::unordered_map<std::uint64_t, Standing> held_;
-  std::size_t standing_ = 0;
+  Time advanced_to_ = 0;
+  double backlog_ = 0;            // microseconds of work
+  double connection_demand_ = 0;  // by the standing connections
+  double recent_work_ = 0;        // work of set-ups and probes in about the last second
+  std::unordered_map<std::uint64_t, Connection> connections_;
+  std::size_t established_count_ = 0;
   std::unordered_map<std::uint32_t, int> groups_;
-  std::array<std::pair<Time, double>, 32> told_{};  // recent loads: reports are of a moment ago
-  std::size_t told_at_ = 0;
+  std::array<std::pair<Time, double>, 32> load_history_{};  // recent loads: reports are of a moment ago
+  std::size_t history_index_ = 0;
   std::vector<Sample> samples_;
-  Figures figures_;
+  Statistics statistics_;
 };
 
 // Some workers on one lane.
-class WorkerLane : public Lane {
+class WorkerProcess : public LogicalProcess {
  public:
-  WorkerLane(const Scenario& scenario, const Places& places, std::uint64_t seed)
-      : scenario_(scenario), places_(places), seed_(seed), net_(seed, Purpose::network, 1'000'000) {}
+  WorkerProcess(const Scenario& scenario, const Topology& topology, std::uint64_t seed)
+      : scenario_(scenario),
+        topology_(topology),
+        seed_(seed),
+        network_rng_(seed, Purpose::network, 1'000'000) {}
 
-  void take(Worker& worker) {
+  void add_worker(Worker& worker) {
     workers_.resize(static_cast<std::size_t>(scenario_.workers()));
     workers_[static_cast<std::size_t>(worker.number_)] = &worker;
   }
-  void begin();  // once its number is known
+  void start();  // once its number is known
   // A connection that stands from the beginning.
-  void stands_already(int worker, std::uint64_t key, const Client& client);
-  void happens(const Event& event) override;
+  void add_initial_connection(int worker, std::uint64_t key, const Client& client);
+  void handle(const Event& event) override;
 
  private:
-  void set_up(Worker& w, const Event& event);
-  void reply(const Event& to, What what, marblehub::policy::Outcome outcome, double value = -1,
+  void handle_setup(Worker& w, const Event& event);
+  void reply(const Event& to, EventType type, marblehub::policy::Outcome outcome, double value = -1,
              Time after = 0);
-  void tell_list(const Worker& w, marblehub::policy::Health health);
-  void stop(Worker& w, bool fell);
-  void start(Worker& w);
-  double report(Worker& w);
-  Time hop() { return hop_time(scenario_, net_); }
+  void send_endpoint_update(const Worker& w, marblehub::policy::Health health);
+  void stop_worker(Worker& w, bool crashed);
+  void start_worker(Worker& w);
+  double reported_load(Worker& w);
+  Time hop_delay() { return random_hop_delay(scenario_, network_rng_); }
 
   const Scenario& scenario_;
-  const Places& places_;
+  const Topology& topology_;
   const std::uint64_t seed_;
-  Stream net_;
+  RandomStream network_rng_;
   std::vector<Worker*> workers_;  // by number; none where it is another lane's
 };
 
 // The session store that every set-up calls: a queue with one rate.
-class Store : public Lane {
+class Store : public LogicalProcess {
  public:
   explicit Store(const Scenario& scenario) : scenario_(scenario) {}
-  void happens(const Event& event) override;
+  void handle(const Event& event) override;
   const std::vector<std::uint32_t>& calls() const { return calls_; }  // in each kSampleEvery
-  long all() const { return all_; }
-  Time longest() const { return longest_; }
+  long total_calls() const { return total_calls_; }
+  Time max_wait() const { return max_wait_; }
 
  private:
   const Scenario& scenario_;
-  Time free_at_ = 0, longest_ = 0;
-  long all_ = 0;
+  Time free_at_ = 0, max_wait_ = 0;
+  long total_calls_ = 0;
   std::vector<std::uint32_t> calls_;
 };
 
--- a/tests/model_sockets_test.cpp
+++ b/tests/model_sockets_test.cpp
@@ -25,7 +25,7 @@
     bool call = false;
   };
   std::list<Conn> conns;
-  int standing = 0;
+  int established = 0;
 
   explicit Worker(std::string n) : name(std::move(n)) { ::listen(fd, 128); }
   ~Worker() {
@@ -40,7 +40,7 @@
       ssize_t n = ::recv(it->fd, buffer, sizeof buffer, 0);
       if (n > 0) it->in.append(buffer, static_cast<std::size_t>(n));
       if (n == 0 || (n < 0 && errno != EAGAIN)) {
-        standing -= it->call;
+        established -= it->call;
         ::close(it->fd);
         it = conns.erase(it);
         continue;
@@ -48,8 +48,8 @@
       for (std::size_t end; (end = it->in.find('\n')) != std::string::npos; it->in.erase(0, end + 1)) {
         std::string answer;
         if (it->in.starts_with("STATS"))
-          answer = "PONG latency_ms=2,util=" + std::to_string(standing * kLoad) + "\r\n";
-        if (it->in.starts_with("OPEN") && !it->call) it->call = true, standing += 1, answer = "UP r\r\n";
+          answer = "PONG latency_ms=2,util=" + std::to_string(established * kLoad) + "\r\n";
+        if (it->in.starts_with("OPEN") && !it->call) it->call = true, established += 1, answer = "UP r\r\n";
         if (!answer.empty()) ::send(it->fd, answer.data(), answer.size(), MSG_NOSIGNAL);
       }
       ++it;
@@ -63,27 +63,27 @@
   bool up = false;
 };
 
-struct Scene {
-  Scene(const std::string& rebalance) {
+struct SocketFixture {
+  SocketFixture(const std::string& rebalance) {
     std::ofstream(file) << rebalance;
     for (const char* name : {"w1", "w2"}) join(name);
     json own = settings();
     own["balancers"] = 1;
     program = std::make_unique<Program>(registry.list(), own, registry.port(), "/nonexistent", "/nonexistent",
                                         1024, file);
-    began = now_ms();
+    started_at = now_ms();
   }
-  ~Scene() { std::remove(file.c_str()); }
+  ~SocketFixture() { std::remove(file.c_str()); }
   void join(const std::string& name) {
     workers.push_back(std::make_unique<Worker>(name));
     registry.set(name, loopback_address_text(port_of(workers.back()->fd)), "ready");
   }
-  void open(Client& c, bool again) {
+  void open(Client& c, bool returned) {
     c.fd = connected_socket(program->port);
     c.up = false;
     c.in.clear();
     std::string line =
-        "OPEN " + std::to_string(++ids) + " 2 c=telemetry,d=2900" + (again ? ",again=1" : "") + "\r\n";
+        "OPEN " + std::to_string(++ids) + " 2 c=telemetry,d=2900" + (returned ? ",again=1" : "") + "\r\n";
     ::send(c.fd, line.data(), line.size(), MSG_NOSIGNAL);
   }
   void step() {
@@ -103,21 +103,21 @@
     }
     usleep(2000);
   }
-  void until_second(double s) {
-    while (static_cast<double>(now_ms() - began) < s * 1000) step();
+  void run_until(double s) {
+    while (static_cast<double>(now_ms() - started_at) < s * 1000) step();
   }
-  double share(std::size_t i) const { return static_cast<double>(workers[i]->standing) / kClients; }
+  double share(std::size_t i) const { return static_cast<double>(workers[i]->established) / kClients; }
 
   const std::string file = "/tmp/marblehub-rebalance-" + std::to_string(getpid()) + ".json";
   peers::StubRegistry registry;
   std::vector<std::unique_ptr<Worker>> workers;
   std::unique_ptr<Program> program;
   std::list<Client> clients;
-  std::int64_t began = 0;
+  std::int64_t started_at = 0;
   int ids = 0, moves = 0, refusals = 0;
 };
 
-const std::string kModelled = R"(
+const std::string kSimulated = R"(
 name = sockets
 seconds = 110
 workers.old.count = 2
@@ -154,58 +154,58 @@
 }  // namespace
 
 TEST_CASE("the model agrees with the sockets on spread, refusals and moves") {
-  Scene scene(
+  SocketFixture fixture(
       R"({"enabled": true, "dry_run": false, "gap": 0.1, "half_s": 10, "settle_s": 1, "moves_a_minute": 600})");
   for (int i = 0; i < kClients; ++i) {
-    scene.clients.emplace_back();
-    scene.open(scene.clients.back(), false);
-    scene.until_second(0.2 + 3.0 * i / kClients);
+    fixture.clients.emplace_back();
+    fixture.open(fixture.clients.back(), false);
+    fixture.run_until(0.2 + 3.0 * i / kClients);
   }
-  scene.until_second(9);
-  double spread = std::abs(scene.share(0) - scene.share(1));
-  scene.until_second(11);
-  scene.join("w3");
-  scene.until_second(58);
-  CHECK(scene.moves == 0);  // the planner's first minute counts as spent
-  scene.until_second(100);
-  int moves = scene.moves;
-  double joined = scene.share(2);
+  fixture.run_until(9);
+  double spread = std::abs(fixture.share(0) - fixture.share(1));
+  fixture.run_until(11);
+  fixture.join("w3");
+  fixture.run_until(58);
+  CHECK(fixture.moves == 0);  // the planner's first minute counts as spent
+  fixture.run_until(100);
+  int moves = fixture.moves;
+  double joined_share = fixture.share(2);
 
   log::threshold = log::Level::error;
   std::vector<model::Job> jobs;
   for (std::uint64_t seed = 1; seed <= 10; ++seed)
-    jobs.push_back({model::scenario_from(kModelled, "sockets"), seed});
-  std::vector<double> spreads, modelled, shares;
+    jobs.push_back({model::parse_scenario(kSimulated, "sockets"), seed});
+  std::vector<double> spreads, simulated_moves, shares;
   for (const model::Result& r : model::run_all(jobs, 2)) {
-    CHECK(r.good());
-    CHECK(r.figures.at("refused") == 0);
-    const auto& late = r.moments.back();
+    CHECK(r.passed());
+    CHECK(r.statistics.at("refused") == 0);
+    const auto& late = r.snapshots.back();
     double all = late.connections, load = late.kinds[1].second;
     shares.push_back(load / 0.008 / all);
-    modelled.push_back(r.figures.at("moves") / all);
-    const auto& early = r.moments[1];
+    simulated_moves.push_back(r.statistics.at("moves") / all);
+    const auto& early = r.snapshots[1];
     spreads.push_back(early.gap / 0.008 / early.connections);
   }
   log::threshold = log::Level::info;
-  CAPTURE(spread, joined, moves);
-  CAPTURE(model::estimate(spreads).mean, model::estimate(shares).mean, model::estimate(modelled).mean);
-  CHECK(scene.refusals == 0);
+  CAPTURE(spread, joined_share, moves);
+  CAPTURE(model::estimate(spreads).mean, model::estimate(shares).mean, model::estimate(simulated_moves).mean);
+  CHECK(fixture.refusals == 0);
   CHECK(std::abs(spread - model::estimate(spreads).mean) <= 0.15);
-  CHECK(std::abs(joined - model::estimate(shares).mean) <= 0.10);
-  CHECK(std::abs(static_cast<double>(moves) / kClients - model::estimate(modelled).mean) <= 0.15);
+  CHECK(std::abs(joined_share - model::estimate(shares).mean) <= 0.10);
+  CHECK(std::abs(static_cast<double>(moves) / kClients - model::estimate(simulated_moves).mean) <= 0.15);
   CHECK(moves > 5);
 
   // A worker that leaves: all that stood there are told to move, once each, in the one as in the other.
-  int there = scene.workers[0]->standing;
-  scene.registry.set("w1", loopback_address_text(port_of(scene.workers[0]->fd)), "draining");
-  scene.until_second(105);
-  CHECK(scene.workers[0]->standing == 0);
-  CHECK(scene.moves - moves >= there);
-  CHECK(scene.moves - moves <= there + 6);  // the planner may move some at the same time
+  int there = fixture.workers[0]->established;
+  fixture.registry.set("w1", loopback_address_text(port_of(fixture.workers[0]->fd)), "draining");
+  fixture.run_until(105);
+  CHECK(fixture.workers[0]->established == 0);
+  CHECK(fixture.moves - moves >= there);
+  CHECK(fixture.moves - moves <= there + 6);  // the planner may move some at the same time
   model::Result drained = model::run(
-      model::scenario_from(kModelled + "at 100 drain old.1 for 8\nexpect cut exactly 0\n", "s"), {});
-  CHECK(drained.good());
-  CHECK(drained.figures["told to move"] > drained.figures["moves"]);
+      model::parse_scenario(kSimulated + "at 100 drain old.1 for 8\nexpect cut exactly 0\n", "s"), {});
+  CHECK(drained.passed());
+  CHECK(drained.statistics["told to move"] > drained.statistics["moves"]);
 }
 
 }  // namespace marblehub::test
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -27,93 +27,93 @@
 rebalance.dry_run = false
 )";
 
-std::string refusal(const std::string& text) {
+std::string decode_error(const std::string& text) {
   try {
-    scenario_from(text, "s.txt");
+    parse_scenario(text, "s.txt");
   } catch (const config::DecodeError& error) {
     return error.what();
   }
   return "";
 }
 
-struct Quiet {
-  Quiet() { log::threshold = log::Level::error; }
-  ~Quiet() { log::threshold = log::Level::info; }
+struct QuietLog {
+  QuietLog() { log::threshold = log::Level::error; }
+  ~QuietLog() { log::threshold = log::Level::info; }
 };
 
 // Tells the next one, and so on: each lane's sum depends on the order in which it was told.
-class Relay : public Lane {
+class Relay : public LogicalProcess {
  public:
-  explicit Relay(std::uint32_t lanes) : lanes_(lanes) {}
-  void happens(const Event& event) override {
+  explicit Relay(std::uint32_t process_count) : process_count_(process_count) {}
+  void handle(const Event& event) override {
     sum = sum * 31 + event.key + static_cast<std::uint64_t>(event.when);
     for (std::uint32_t step : {1u, 3u}) {
       Event next = event;
-      next.lane = (number() + step) % lanes_;
+      next.process = (number() + step) % process_count_;
       next.key = event.key * 7 + step;
-      if (event.key < 1'000'000'000) later(next, now() + 1000 + static_cast<Time>(event.key % 500));
+      if (event.key < 1'000'000'000) schedule(next, now() + 1000 + static_cast<Time>(event.key % 500));
     }
   }
   std::uint64_t sum = 0;
 
  private:
-  const std::uint32_t lanes_;
+  const std::uint32_t process_count_;
 };
 
 }  // namespace
 
 TEST_CASE("lanes give the same result on any number of threads") {
-  auto play = [](int threads) {
-    Lanes lanes(1000, threads);
+  auto run_relays = [](int threads) {
+    Engine engine(1000, threads);
     std::vector<std::unique_ptr<Relay>> relays;
     for (int i = 0; i < 11; ++i) {
       relays.push_back(std::make_unique<Relay>(11));
-      lanes.add(*relays.back());
+      engine.add(*relays.back());
     }
     Event event;
     event.key = 1;
-    lanes.begin_with(event, 5);
-    lanes.run(kSecond);
+    engine.schedule_initial(event, 5);
+    engine.run(kSecond);
     std::vector<std::uint64_t> sums;
     for (auto& relay : relays) sums.push_back(relay->sum);
-    return std::pair(sums, lanes.handled());
+    return std::pair(sums, engine.handled());
   };
-  auto one = play(1);
+  auto one = run_relays(1);
   CHECK(one.second > 1000);
-  CHECK(play(2) == one);
-  CHECK(play(4) == one);
+  CHECK(run_relays(2) == one);
+  CHECK(run_relays(4) == one);
 }
 
 TEST_CASE("an event for another lane that comes sooner than the lookahead ends the run") {
-  struct Hasty : Lane {
-    void happens(const Event& event) override {
+  struct Hasty : LogicalProcess {
+    void handle(const Event& event) override {
       Event next = event;
-      next.lane = 1;
-      later(next, now() + 10);
+      next.process = 1;
+      schedule(next, now() + 10);
     }
   } hasty;
   Relay other(1);
-  Lanes lanes(1000, 2);
-  lanes.add(hasty);
-  lanes.add(other);
-  lanes.begin_with({}, 0);
-  CHECK_THROWS_WITH(lanes.run(kSecond), Catch::Contains("too soon"));
+  Engine engine(1000, 2);
+  engine.add(hasty);
+  engine.add(other);
+  engine.schedule_initial({}, 0);
+  CHECK_THROWS_WITH(engine.run(kSecond), Catch::Contains("too soon"));
 }
 
 TEST_CASE("streams of random numbers do not shift one another") {
-  Stream a(7, Purpose::client, 1), b(7, Purpose::client, 2), again(7, Purpose::client, 1);
+  RandomStream a(7, Purpose::client, 1), b(7, Purpose::client, 2), again(7, Purpose::client, 1);
   std::uint64_t first = a.bits();
   b.bits();
   std::uint64_t second = a.bits();
   CHECK(again.bits() == first);
   CHECK(again.bits() == second);
-  CHECK(Stream(7, Purpose::client, 1, 1).bits() == second);  // carried along
-  CHECK(Stream(8, Purpose::client, 1).bits() != first);
-  CHECK(Stream(7, Purpose::spawn, 1).bits() != first);
-  Stream many(3, Purpose::worker, 9);
+  CHECK(RandomStream(7, Purpose::client, 1, 1).bits() == second);  // carried along
+  CHECK(RandomStream(8, Purpose::client, 1).bits() != first);
+  CHECK(RandomStream(7, Purpose::arrival, 1).bits() != first);
+  RandomStream stream(3, Purpose::worker, 9);
   double sum = 0, squares = 0;
   for (int i = 0; i < 20000; ++i) {
-    double x = many.normal();
+    double x = stream.normal();
     sum += x, squares += x * x;
   }
   CHECK(std::abs(sum / 20000) < 0.03);
@@ -121,8 +121,8 @@
 }
 
 TEST_CASE("the same seed gives the same bytes, on any number of threads; another seed others") {
-  Quiet quiet;
-  Scenario s = scenario_from(kSmall, "small");
+  QuietLog quiet;
+  Scenario s = parse_scenario(kSmall, "small");
   std::string one = run(s, {.seed = 4}).text();
   CHECK(run(s, {.seed = 4}).text() == one);
   CHECK(run(s, {.seed = 4, .threads = 3}).text() == one);
@@ -133,39 +133,40 @@
 }
 
 TEST_CASE("what is wrong in a scenario is told with its place and key") {
-  CHECK(refusal(kSmall).empty());
-  CHECK(refusal("name = x\nseconds = 5\nworkers.a.count = 2\nclients.load_us = 1\n").find("clients.stay_s") !=
+  CHECK(decode_error(kSmall).empty());
+  CHECK(decode_error("name = x\nseconds = 5\nworkers.a.count = 2\nclients.load_us = 1\n")
+            .find("clients.stay_s") != std::string::npos);
+  CHECK(decode_error(kSmall + "clients.colour = red\n").find("clients.colour: expected no such key") !=
         std::string::npos);
-  CHECK(refusal(kSmall + "clients.colour = red\n").find("clients.colour: expected no such key") !=
+  CHECK(decode_error(kSmall + "balancers = 2\n").find("s.txt:14: setting balancers is there twice") !=
         std::string::npos);
-  CHECK(refusal(kSmall + "balancers = 2\n").find("s.txt:14: setting balancers is there twice") !=
+  CHECK(decode_error(kSmall + "at 5 drain old.9 for 3\n").find("s.txt:14: there is no worker old.9") !=
         std::string::npos);
-  CHECK(refusal(kSmall + "at 5 drain old.9 for 3\n").find("s.txt:14: there is no worker old.9") !=
+  CHECK(decode_error(kSmall + "at 5 paint old.1\n").find("not 'paint'") != std::string::npos);
+  CHECK(decode_error(kSmall + "expect gap at 5 nearly 3\n").find("expected below, above") !=
         std::string::npos);
-  CHECK(refusal(kSmall + "at 5 paint old.1\n").find("not 'paint'") != std::string::npos);
-  CHECK(refusal(kSmall + "expect gap at 5 nearly 3\n").find("expected below, above") != std::string::npos);
-  CHECK(refusal(kSmall + "rebalance.gap = 7\n").find("gap: expected a share") != std::string::npos);
-  CHECK(refusal(kSmall + "clients.lost_share = 1.5\n").find("clients.lost_share: expected a share") !=
+  CHECK(decode_error(kSmall + "rebalance.gap = 7\n").find("gap: expected a share") != std::string::npos);
+  CHECK(decode_error(kSmall + "clients.lost_share = 1.5\n").find("clients.lost_share: expected a share") !=
         std::string::npos);
-  CHECK(refusal("nonsense\n").find("s.txt:1: expected KEY = VALUE") != std::string::npos);
-  CHECK_THROWS_AS(run(scenario_from(kSmall + "expect joy above 1\n", "s"), {}), config::DecodeError);
+  CHECK(decode_error("nonsense\n").find("s.txt:1: expected KEY = VALUE") != std::string::npos);
+  CHECK_THROWS_AS(run(parse_scenario(kSmall + "expect joy above 1\n", "s"), {}), config::DecodeError);
 }
 
 TEST_CASE("expectations are judged by what was found, not by what was wished") {
-  Quiet quiet;
+  QuietLog quiet;
   Result r = run(
-      scenario_from(
+      parse_scenario(
           kSmall + "expect calls above 1\nexpect calls below 1\nexpect load of old at 100 at most 5\n", "s"),
       {});
   REQUIRE(r.verdicts.size() == 3);
   CHECK(r.verdicts[0].holds);
   CHECK_FALSE(r.verdicts[1].holds);
   CHECK(r.verdicts[2].holds);
-  CHECK_FALSE(r.good());
+  CHECK_FALSE(r.passed());
 }
 
 TEST_CASE("a cold worker that is pushed over breaks a rule, and one that hangs loses worth") {
-  Quiet quiet;
+  QuietLog quiet;
   // The registry says that it is as big as the other, and a set-up takes it seconds while it is cold.
   std::string text = R"(
 name = crushed
@@ -186,77 +187,79 @@
 clients.stay_s = 100
 clients.load_us = 20000
 )";
-  CHECK(run(scenario_from(text, "s"), {}).rules.count(Rule::cold_fell) > 0);
-  double well = run(scenario_from(kSmall, "s"), {}).figures["served share"];
-  double hung = run(scenario_from(kSmall + "at 30 hang old.1 for 60\n", "s"), {}).figures["served share"];
-  CHECK(hung < well);
+  CHECK(run(parse_scenario(text, "s"), {}).rules.count(Rule::cold_crash) > 0);
+  double normal = run(parse_scenario(kSmall, "s"), {}).statistics["served share"];
+  double with_hang =
+      run(parse_scenario(kSmall + "at 30 hang old.1 for 60\n", "s"), {}).statistics["served share"];
+  CHECK(with_hang < normal);
 }
 
 TEST_CASE("the most within any minute is found wherever it lies") {
   std::vector<Time> times;
   for (int i = 0; i < 10; ++i) times.push_back(i * 30 * kSecond);
-  CHECK(most_within(times, 60 * kSecond) == 2);  // half open: the third falls out
+  CHECK(max_count_within(times, 60 * kSecond) == 2);  // half open: the third falls out
   times.insert(times.begin() + 5, 3, times[5] - 1);
-  CHECK(most_within(times, 60 * kSecond) == 5);
-  CHECK(most_within({}, 60 * kSecond) == 0);
+  CHECK(max_count_within(times, 60 * kSecond) == 5);
+  CHECK(max_count_within({}, 60 * kSecond) == 0);
 }
 
 TEST_CASE("means come with their intervals, paired ones too") {
   Estimate e = estimate({1, 2, 3, 4, 5});
   CHECK(e.mean == Approx(3));
-  CHECK(e.half == Approx(1.9632).epsilon(0.001));  // t(4) = 2.776, sd 1.5811
-  CHECK(e.apart());
-  CHECK_FALSE(estimate({-1, 1, -1, 1}).apart());
-  CHECK_FALSE(estimate({4}).apart());
+  CHECK(e.half_width == Approx(1.9632).epsilon(0.001));  // t(4) = 2.776, sd 1.5811
+  CHECK(e.significant());
+  CHECK_FALSE(estimate({-1, 1, -1, 1}).significant());
+  CHECK_FALSE(estimate({4}).significant());
 }
 
 TEST_CASE("a report is one page that needs nothing else") {
-  Quiet quiet;
-  Scenario with = scenario_from(kSmall + "expect calls above 1\n", "s"), without = with;
+  QuietLog quiet;
+  Scenario with = parse_scenario(kSmall + "expect calls above 1\n", "s"), without = with;
   without.rebalance.enabled = false;
   // Five seeds: with two, whether a difference counts as one hangs on the luck of the draw.
   std::vector<Job> jobs;
   for (const Scenario& s : {with, without})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) jobs.push_back({s, seed});
   auto results = run_all(jobs, 2);
-  std::vector<Way> ways = {{"with <moves>", {results.begin(), results.begin() + 5}},
-                           {"without", {results.begin() + 5, results.end()}}};
-  std::string html = page("small & slow", ways, kFigures);
+  std::vector<Variant> variants = {{"with <moves>", {results.begin(), results.begin() + 5}},
+                                   {"without", {results.begin() + 5, results.end()}}};
+  std::string html = html_report("small & slow", variants, kComparedStatistics);
   CHECK(html.find("small &amp; slow") != std::string::npos);
   CHECK(html.find("with &lt;moves&gt;") != std::string::npos);
   CHECK(html.find("<polyline") != std::string::npos);
   CHECK(html.find("{{") == std::string::npos);
   CHECK(html.find("http") == std::string::npos);
-  CHECK(results[5].figures["moves"] == 0);
-  CHECK(results[0].figures["moves"] > 0);
-  CHECK(table(ways, kFigures).find("without less with") != std::string::npos);
+  CHECK(results[5].statistics["moves"] == 0);
+  CHECK(results[0].statistics["moves"] > 0);
+  CHECK(table(variants, kComparedStatistics).find("without less with") != std::string::npos);
 }
 
 TEST_CASE(
     "in steady load the gap narrows at every step of ten seconds, and to a quarter within three minutes") {
-  Quiet quiet;
-  Scenario s = scenario_in(MARBLEHUB_SOURCE "/scenarios/warm-evening.txt");
+  QuietLog quiet;
+  Scenario s = load_scenario(MARBLEHUB_SOURCE "/scenarios/warm-evening.txt");
   std::vector<Job> jobs;
   for (std::uint64_t seed = 11; seed <= 13; ++seed) jobs.push_back({s, seed});
   for (const Result& r : run_all(jobs, 2)) {
-    auto widest = std::max_element(r.moments.begin(), r.moments.end(),
+    auto widest = std::max_element(r.snapshots.begin(), r.snapshots.end(),
                                    [](const auto& a, const auto& b) { return a.gap < b.gap; });
     auto quarter =
-        std::find_if(widest, r.moments.end(), [&](const auto& m) { return m.gap <= widest->gap / 4; });
+        std::find_if(widest, r.snapshots.end(), [&](const auto& m) { return m.gap <= widest->gap / 4; });
     INFO(r.text());
-    REQUIRE(quarter != r.moments.end());
+    REQUIRE(quarter != r.snapshots.end());
     CHECK(quarter->at - widest->at <= 180);
     // From the second step on: in the first the new ones have only begun.
     for (auto m = widest + 2; m <= quarter; ++m) CHECK(m->gap < (m - 1)->gap);
     Scenario off = s;
     off.rebalance.enabled = false;
-    Result still = run(off, {.seed = r.seed});
-    CHECK(still.moments[static_cast<std::size_t>(quarter - r.moments.begin())].gap > 2 * quarter->gap);
+    Result without_moves = run(off, {.seed = r.seed});
+    CHECK(without_moves.snapshots[static_cast<std::size_t>(quarter - r.snapshots.begin())].gap >
+          2 * quarter->gap);
   }
 }
 
 TEST_CASE("every scenario of the project comes out as it expects") {
-  Quiet quiet;
+  QuietLog quiet;
 #ifdef __SANITIZE_ADDRESS__
   const std::uint64_t seeds = 1;
 #else
@@ -265,7 +268,7 @@
   std::vector<Job> jobs;
   for (const auto& entry : std::filesystem::directory_iterator(MARBLEHUB_SOURCE "/scenarios")) {
     if (entry.path().stem() == "large-fleet") continue;  // measured by hand: docs/model.md
-    Scenario s = scenario_in(entry.path().string());
+    Scenario s = load_scenario(entry.path().string());
     CHECK(s.name == entry.path().stem().string());
     CHECK_FALSE(s.expectations.empty());
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) jobs.push_back({s, seed});
@@ -273,7 +276,7 @@
   REQUIRE(jobs.size() >= 15 * seeds);
   for (const Result& r : run_all(jobs, 2)) {
     INFO(r.text().substr(0, 2000));
-    CHECK(r.good());
+    CHECK(r.passed());
   }
 }
 
--- a/tools/marblehub_model.cpp
+++ b/tools/marblehub_model.cpp
@@ -26,7 +26,7 @@
 }
 
 // Parses "NAME: KEY=VALUE KEY=VALUE"; without a name the whole text is the name.
-std::pair<std::string, Changes> parse_way(const std::string& text) {
+std::pair<std::string, Changes> parse_variant(const std::string& text) {
   std::size_t colon = text.find(": ");
   std::string name = colon == text.npos ? text : text.substr(0, colon);
   std::istringstream words(colon == text.npos ? text : text.substr(colon + 2));
@@ -37,7 +37,7 @@
 
 // The command line.
 struct Arguments {
-  std::vector<std::string> files, settings, ways, values;
+  std::vector<std::string> files, settings, variants, values;
   std::string parameter, out;
   std::uint64_t seed = 1;
   std::size_t seeds = 10;
@@ -47,7 +47,7 @@
   Scenario scenario(const std::string& file, Changes extra = {}) const {
     Changes all = parse_changes(settings);
     all.insert(all.end(), extra.begin(), extra.end());
-    return scenario_in(file, all);
+    return load_scenario(file, all);
   }
 };
 
@@ -63,77 +63,78 @@
   Result result = run(args.scenario(args.files.front()), options);
   if (show_progress) std::cerr << "\r          \r";
   std::cout << result.log << result.text();
-  return result.good() ? 0 : 1;
+  return result.passed() ? 0 : 1;
 }
 
 // Runs every seed of every way in parallel.
-std::vector<Way> run_ways(const Arguments& args, const std::vector<std::pair<std::string, Scenario>>& ways) {
+std::vector<Variant> run_variants(const Arguments& args,
+                                  const std::vector<std::pair<std::string, Scenario>>& variants) {
   std::vector<Job> jobs;
-  for (const auto& [name, scenario] : ways)
+  for (const auto& [name, scenario] : variants)
     for (std::size_t i = 0; i < args.seeds; ++i) jobs.push_back({scenario, args.seed + i});
   std::vector<Result> results = run_all(jobs, args.threads, [](std::size_t done, std::size_t all) {
     if (isatty(STDERR_FILENO) || done == all || done % 100 == 0)
       std::cerr << (isatty(STDERR_FILENO) ? "\r" : "") << done << " of " << all << " runs"
                 << (isatty(STDERR_FILENO) && done < all ? "" : "\n") << std::flush;
   });
-  std::vector<Way> completed;
-  for (std::size_t w = 0; w < ways.size(); ++w) {
-    Way way{ways[w].first, {}};
+  std::vector<Variant> completed;
+  for (std::size_t w = 0; w < variants.size(); ++w) {
+    Variant variant{variants[w].first, {}};
     for (std::size_t i = 0; i < args.seeds; ++i)
-      way.results.push_back(std::move(results[w * args.seeds + i]));
-    completed.push_back(std::move(way));
+      variant.results.push_back(std::move(results[w * args.seeds + i]));
+    completed.push_back(std::move(variant));
   }
   return completed;
 }
 
 // Prints a line for each run that broke an expectation. Returns whether there was none.
-bool print_failures(const std::vector<Way>& ways) {
+bool print_failures(const std::vector<Variant>& variants) {
   bool all_good = true;
-  for (const Way& way : ways)
-    for (const Result& r : way.results) {
-      if (r.good()) continue;
+  for (const Variant& variant : variants)
+    for (const Result& r : variant.results) {
+      if (r.passed()) continue;
       all_good = false;
       std::string first = r.text();
-      std::cout << way.name << ": " << first.substr(0, first.find("  calls")) << "\n";
+      std::cout << variant.name << ": " << first.substr(0, first.find("  calls")) << "\n";
     }
   return all_good;
 }
 
 // The ways to compare: variants of one file if --way is given, else one per file.
-std::vector<std::pair<std::string, Scenario>> ways_from(const Arguments& args) {
-  std::vector<std::pair<std::string, Scenario>> ways;
-  if (args.ways.empty()) {
-    for (const std::string& file : args.files) ways.emplace_back(file, args.scenario(file));
+std::vector<std::pair<std::string, Scenario>> load_variants(const Arguments& args) {
+  std::vector<std::pair<std::string, Scenario>> variants;
+  if (args.variants.empty()) {
+    for (const std::string& file : args.files) variants.emplace_back(file, args.scenario(file));
   } else {
-    for (const std::string& text : args.ways) {
-      auto [name, changes] = parse_way(text);
-      ways.emplace_back(name, args.scenario(args.files.front(), changes));
+    for (const std::string& text : args.variants) {
+      auto [name, changes] = parse_variant(text);
+      variants.emplace_back(name, args.scenario(args.files.front(), changes));
     }
   }
-  return ways;
+  return variants;
 }
 
 int sweep(const Arguments& args) {
-  std::vector<std::pair<std::string, Scenario>> ways;
+  std::vector<std::pair<std::string, Scenario>> variants;
   for (const std::string& value : args.values)
-    ways.emplace_back(value, args.scenario(args.files.front(), {{args.parameter, value}}));
-  if (ways.empty()) ways.emplace_back("unchanged", args.scenario(args.files.front()));
-  std::vector<Way> completed = run_ways(args, ways);
-  std::cout << args.parameter << "\n" << table(completed, kFigures);
+    variants.emplace_back(value, args.scenario(args.files.front(), {{args.parameter, value}}));
+  if (variants.empty()) variants.emplace_back("unchanged", args.scenario(args.files.front()));
+  std::vector<Variant> completed = run_variants(args, variants);
+  std::cout << args.parameter << "\n" << table(completed, kComparedStatistics);
   return print_failures(completed) ? 0 : 1;
 }
 
 int compare(const Arguments& args) {
-  std::vector<Way> completed = run_ways(args, ways_from(args));
+  std::vector<Variant> completed = run_variants(args, load_variants(args));
   std::cout << args.seeds << " paired seeds; differences are shown if their 95% interval excludes zero\n"
-            << table(completed, kFigures);
+            << table(completed, kComparedStatistics);
   return 0;
 }
 
 int report(const Arguments& args) {
-  std::vector<Way> completed = run_ways(args, ways_from(args));
+  std::vector<Variant> completed = run_variants(args, load_variants(args));
   std::ofstream file(args.out);
-  file << page(completed.front().results.front().scenario, completed, kFigures);
+  file << html_report(completed.front().results.front().scenario, completed, kComparedStatistics);
   file.close();
   if (!file) throw std::runtime_error("cannot write " + args.out);
   return 0;
@@ -168,7 +169,7 @@
   for (CLI::App* sub : {sweep_command, compare_command, report_command})
     sub->add_option("--seeds", args.seeds, "number of seeds");
   for (CLI::App* sub : {compare_command, report_command})
-    sub->add_option("--way", args.ways, "\"NAME: KEY=VALUE ...\", repeatable")->take_all();
+    sub->add_option("--way", args.variants, "\"NAME: KEY=VALUE ...\", repeatable")->take_all();
   report_command->add_option("--out", args.out, "output file")->required();
   CLI11_PARSE(app, argc, argv);
   marblehub::log::threshold = marblehub::log::Level::error;
