--- a/src/model/balancer.cpp
+++ b/src/model/balancer.cpp
@@ -8,7 +8,8 @@
 
 namespace marblehub::model {
 
-// ---- Life ----------------------------------------------------------------------------------------------
+// ---- Dispatcher
+// ----------------------------------------------------------------------------------------------
 
 BalancerProcess::BalancerProcess(const Scenario& scenario, const Topology& topology, std::uint32_t number,
                                  std::uint64_t seed)
@@ -48,7 +49,7 @@
 }
 
 BalancerProcess::~BalancerProcess() {
-  shutting_down_ = true;  // what the attempts still say would go to lanes that are gone already
+  shutting_down_ = true;  // attempts must not send events to processes that are already destroyed
   driver_.reset();
   dispatcher_.reset();
 }
@@ -66,7 +67,7 @@
   metrics_.emplace();
   counters_.emplace(*metrics_);
   watching_ = false;
-  // What is handed over at a start is what stood in its files: the first list, however old.
+  // A restart begins with the worker list of the first start, however old: that of the configuration files.
   dispatcher_ = std::make_unique<core::Dispatcher>(startup_, *this, *this, *this, *metrics_);
   if (scenario_.rebalance.enabled)
     driver_ = std::make_unique<rebalance::Driver>(scenario_.rebalance, *dispatcher_, startup_, *counters_);
@@ -173,7 +174,7 @@
 
 void BalancerProcess::handle_arrival(const Client& client) {
   Session& session = open_session(client);
-  if (!alive_) return retry_later(session, 0);  // nobody listens: it tries another
+  if (!alive_) return retry_later(session, 0);  // the balancer is down: the client retries at another one
   start_call(session);
 }
 
@@ -193,7 +194,8 @@
   free_sessions_.push_back(session.slot);
 }
 
-// Off to another balancer, or nowhere: after < 0 draws the break.
+// Sends the client to a random balancer after a delay, drawn if `after` < 0, unless it stays away or its stay
+// ends.
 void BalancerProcess::reconnect_later(Session& session, Time after, bool returned) {
   session.leave_worker();
   Client client = session.client;
@@ -226,7 +228,7 @@
     statistics_.add_disconnected_time(session.client, session.client.departs_at);
     return release(session);
   }
-  // As told, or twice as long each time; never in step.
+  // Waits for the requested pause or with exponential backoff, both with jitter.
   RandomStream rng(seed_, Purpose::client, session.client.id, session.client.rng_count);
   Time backoff = 200 * kMillisecond * (Time{1} << std::min<int>(session.client.consecutive_failures, 5));
   Time after = pause > 0 ? pause + static_cast<Time>(rng.uniform() * static_cast<double>(pause) / 4)
--- a/src/model/balancer.h
+++ b/src/model/balancer.h
@@ -1,5 +1,5 @@
-// A balancer of the model: the program's own dispatcher, module and planner on virtual time, with the clients
-// that are there. The ports of the core (core/ports.h) lead to the model's net instead of to sockets.
+/// A simulated balancer: the dispatcher, policy and planner of the program on virtual time, and the clients
+/// connected to it. The ports of the core (core/ports.h) lead to the simulated network instead of sockets.
 #pragma once
 
 #include <algorithm>
@@ -18,16 +18,17 @@
 
 namespace marblehub::model {
 
+/// Totals of one balancer over the run.
 struct BalancerStatistics {
   long calls = 0, refused = 0, failed = 0, gave_up = 0;
   long planned = 0, redirected = 0, lost = 0;
-  double wanted_seconds = 0;                                            // client-seconds of wish
-  double disconnected_seconds = 0;                                      // of them without a connection
-  std::vector<Time> move_times;                                         // for balance, in order
-  std::vector<float> setup_ms;                                          // a sample of them
-  std::array<double, rebalance::kPlannerStateCount> planner_seconds{};  // of the planner, in each state
+  double wanted_seconds = 0;        // client-seconds during which clients needed a connection
+  double disconnected_seconds = 0;  // the part of them without a connection
+  std::vector<Time> move_times;     // of planner moves, in order
+  std::vector<float> setup_ms;      // the first set-up times
+  std::array<double, rebalance::kPlannerStateCount> planner_seconds{};  // by state of the planner
 
-  // From when it began to want one until then the client had a connection, or had none.
+  /// Accounts for a client's period from `state_since` to `until`, with or without a connection.
   void add_connected_time(const Client& client, Time until) {
     wanted_seconds += static_cast<double>(std::max<Time>(0, until - client.state_since)) / 1e6;
   }
@@ -37,6 +38,7 @@
   }
 };
 
+/// The logical process of one balancer.
 class BalancerProcess : public LogicalProcess,
                         public core::Clock,
                         public core::Prober,
@@ -46,15 +48,19 @@
                   std::uint64_t seed);
   ~BalancerProcess() override;
 
-  void start();  // once its number is known; before the run
-  // A client that stands at `worker` from the beginning; the key under which the worker knows it.
+  /// Starts the dispatcher and schedules the first events; after Engine::add and before the run.
+  void start();
+  /// Adds a client that is connected to `worker` at the start of the run; returns the key of the connection
+  /// at the worker.
   std::uint64_t add_initial_connection(const Client& client, int worker);
   void handle(const Event& event) override;
-  void finish(Time end);  // after the run: what is still wanted is counted, what is owed is checked
+  /// After the run: accounts for the remaining clients and checks for calls without an answer.
+  void finish(Time end);
 
   const BalancerStatistics& statistics() const { return statistics_; }
   const RuleViolations& rules() const { return rules_; }
-  void set_log(std::string* log) { log_ = log; }  // one line an event, for a replay
+  /// Appends a line for each client event to `log`, which is not owned.
+  void set_log(std::string* log) { log_ = log; }
 
   // core::Clock, core::Prober, core::Registry
   Time now() const override { return LogicalProcess::now(); }
@@ -62,12 +68,12 @@
   void watch_endpoints() override;
 
  private:
-  struct Session;    // a client that is here
-  class Attempt;     // a call that is out at a worker
-  class WorkerPort;  // the worker's side
+  struct Session;    // a client at this balancer
+  class Attempt;     // an attempt of a call at a worker
+  class WorkerPort;  // the port through which the dispatcher begins attempts
 
-  void start_dispatcher();  // makes the dispatcher, at start and after a death
-  void run_dispatcher();
+  void start_dispatcher();  // at the start and after a crash
+  void run_dispatcher();    // runs what is due and schedules the next timer event
   Session& open_session(const Client& client);
   core::Call make_call(const Session& session) const;
   void handle_arrival(const Client& client);
@@ -111,18 +117,19 @@
   Time timer_at_ = -1;
   std::deque<Session> sessions_;
   std::vector<std::uint32_t> free_sessions_;
-  struct KnownWorker {  // of a worker, as this balancer was told
+  // A worker as reported to this balancer, with the sessions connected to it.
+  struct KnownWorker {
     bool leaving = false;
     Time leaving_since = 0;
-    std::vector<std::uint32_t> sessions;  // that stand there
-    std::uint32_t pending_sender = 0;     // whose message is out, plus 1
+    std::vector<std::uint32_t> sessions;  // slots
+    std::uint32_t pending_sender = 0;     // slot whose message is unanswered, plus 1; 0: none
     Time message_sent_at = 0;
-    bool all_sent = false;
+    bool all_sent = false;  // all sessions have sent a message since
   };
   std::vector<KnownWorker> known_workers_;
-  std::vector<Time> probe_sent_at_;                  // when sent, by worker; -1: none is out
-  std::deque<std::pair<Time, int>> pending_probes_;  // all, those answered included
-  std::map<std::uint32_t, Event> latest_updates_;    // what the registry has to tell of each worker
+  std::vector<Time> probe_sent_at_;                  // by worker; -1: no probe is pending
+  std::deque<std::pair<Time, int>> pending_probes_;  // in order of sending, answered ones included
+  std::map<std::uint32_t, Event> latest_updates_;    // of the registry, by worker
   std::uint32_t next_client_ = 0;
   std::size_t message_rounds_ = 0;
   BalancerStatistics statistics_;
--- a/src/model/balancer_events.cpp
+++ b/src/model/balancer_events.cpp
@@ -1,4 +1,4 @@
-// What the balancer of the model does with each event.
+// The event handlers of a simulated balancer.
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
@@ -13,7 +13,7 @@
 using policy::Outcome;
 
 constexpr Time kSilenceThreshold =
-    1500 * kMillisecond;  // clients speak every 2 s: by then all at a silent worker have
+    1500 * kMillisecond;  // then all clients of a silent worker have sent: one message every 2 s
 constexpr Time kProbeTimeout = 250 * kMillisecond;
 
 }  // namespace
@@ -22,12 +22,12 @@
   int number = topology_.numbers.at(worker);
   probe_sent_at_[static_cast<std::size_t>(number)] = now();
   send_to_worker(EventType::probe_request, number, 0, nullptr);
-  // All have the same time-out: they come due in the order they were sent, and one event looks at the first.
+  // All probes have the same timeout, so they expire in the order of sending and one event suffices.
   if (pending_probes_.empty()) schedule(make_event(EventType::probe_timeout), now() + kProbeTimeout);
   pending_probes_.emplace_back(now(), number);
 }
 
-// The registry answers with all that was told since, and then with each change as it comes.
+// The registry sends the latest update of each changed worker, then each update as it arrives.
 void BalancerProcess::watch_endpoints() {
   watching_ = true;
   for (const auto& [worker, event] : latest_updates_) schedule(event, now() + scenario_.hop_delay);
@@ -36,7 +36,7 @@
 void BalancerProcess::handle_endpoint_update(const Event& event) {
   KnownWorker& known = known_workers_[event.worker];
   auto [at, inserted] = latest_updates_.try_emplace(event.worker, event);
-  if (!inserted && event.key < at->second.key) return;  // a newer change has overtaken this one
+  if (!inserted && event.key < at->second.key) return;  // overtaken by a newer update
   at->second = event;
   if (!alive_ || !watching_) return;
   config::WorkerList list;
@@ -54,8 +54,8 @@
   if (session.exchange && session.connected && session.attempt) session.exchange->client_sent({{}, 1, true});
 }
 
-// One client a worker speaks every two seconds; where its message stays unanswered, all there have spoken
-// soon.
+// One client of each worker sends a message every two seconds; if it stays unanswered, all clients of that
+// worker send one.
 void BalancerProcess::send_messages() {
   message_rounds_ += 1;
   for (std::size_t i = 0; i < known_workers_.size(); ++i) {
@@ -95,7 +95,7 @@
   std::vector<Session*> affected;
   for (Session& session : sessions_)
     if (session.in_use) affected.push_back(&session);
-  // The process is gone: nothing is told to anyone, the connections just end.
+  // A crashed process sends nothing: its connections just end.
   for (Session* session : affected) session->exchange = nullptr;
   dispatcher_.reset();
   timer_at_ = -1;
@@ -117,26 +117,26 @@
   }
 }
 
-// The client wants no connection any more.
+// Ends the stay of a client.
 void BalancerProcess::handle_departure(const Event& event) {
   Session& session = sessions_[static_cast<std::uint32_t>(event.key)];
   if (!session.in_use || !session.connected || session.generation != event.key >> 32) return;
   log_event("goes", session);
   if (core::Exchange* exchange = std::exchange(session.exchange, nullptr)) {
     exchange->client_left(core::CloseKind::orderly);
-  } else {  // one that its worker never moved
+  } else {  // a QUIC client that its worker never moved
     send_to_worker(EventType::connection_closed, session.worker, session.key(), nullptr);
   }
   session.leave_worker();
   release(session);
 }
 
-// A worker has accepted an attempt, or it is over there.
+// A worker has established a connection, or it has ended there.
 void BalancerProcess::handle_attempt_event(const Event& event) {
   Session* session = find_session(event.key);
   if (!session) return;
   if (session->moving &&
-      event.type == EventType::attempt_ended) {  // a QUIC client whose worker has let it go, or died
+      event.type == EventType::attempt_ended) {  // a QUIC client moved by its worker, or whose worker stopped
     send_to_worker(EventType::connection_closed, session->worker, event.key, nullptr);
     reconnect_later(*session, -1, true);
     return;
@@ -175,7 +175,7 @@
     schedule(make_event(EventType::probe_timeout), pending_probes_.front().first + kProbeTimeout);
 }
 
-// As a hand on the switch would: all at once, whoever they are.
+// Moves a share of the connections at once, as an operator could, without the planner.
 void BalancerProcess::force_moves(double share) {
   std::vector<std::uint64_t> affected;
   for (Session& session : sessions_)
@@ -237,7 +237,7 @@
       force_moves(event.value);
       break;
     default:
-      throw std::logic_error("an event that no balancer knows");
+      throw std::logic_error("not an event type of balancers");
   }
   run_dispatcher();
 }
@@ -249,7 +249,7 @@
     session.connected ? statistics_.add_connected_time(session.client, until)
                       : statistics_.add_disconnected_time(session.client, until);
     if (!session.answered && end - session.call_started > scenario_.client_timeout)
-      rules_.record(Rule::one_answer, end, "a call that was never answered");
+      rules_.record(Rule::one_answer, end, "call without a final answer");
   }
 }
 
--- a/src/model/balancer_parts.h
+++ b/src/model/balancer_parts.h
@@ -1,5 +1,4 @@
-/// Parts of the model's balancer that only its own sources see: a client's session, its attempts, the
-/// workers' side.
+/// Private classes of BalancerProcess: the session of a client, its attempts and the port to the workers.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +9,10 @@
 
 namespace marblehub::model {
 
-constexpr Time kMessageInterval = kSecond;  // how often clients' messages are looked at
+constexpr Time kMessageInterval = kSecond;  // interval of BalancerProcess::send_messages
 
-/// A client that is here: waiting for its answer, or connected to a worker.
+/// A client at this balancer: waiting for the answer to its call, or connected to a worker. Sessions are
+/// reused; the generation tells the uses of a slot apart.
 struct BalancerProcess::Session : core::ClientSide {
   BalancerProcess* balancer = nullptr;
   std::uint32_t slot = 0, generation = 0;
@@ -21,9 +21,9 @@
   core::Exchange* exchange = nullptr;
   Attempt* attempt = nullptr;
   int attempts = 0, worker = -1;
-  std::size_t index_at_worker = 0;  // among those at its worker
+  std::size_t index_at_worker = 0;  // in KnownWorker::sessions
   Time call_started = 0;
-  bool moving = false;  // it has been told, and its worker has not let it go yet (QUIC)
+  bool moving = false;  // asked to move, but still held by its worker (QUIC)
 
   std::uint64_t key() const {
     return static_cast<std::uint64_t>(balancer->index_) << 48 |
@@ -37,12 +37,12 @@
   void hold(bool) override {}
   void redirect() override;
   void ended(core::CloseKind) override;
-  void record_final_answer();
-  void join_worker();  // takes its place at its worker, until its wish is over
+  void record_final_answer();  // checks the rules on final answers
+  void join_worker();          // marks it as connected and schedules the end of its stay
   void leave_worker();
 };
 
-// The attempt. Its end, whatever the reason, is told to the worker: its connection is closed.
+/// An attempt of a call at a worker. Its destructor closes the connection at the worker.
 class BalancerProcess::Attempt : public core::Attempt {
  public:
   Attempt(Session& session, int worker) : session_(session), worker_(worker), key_(session.key()) {
@@ -50,7 +50,7 @@
   }
   ~Attempt() override {
     if (session_.attempt == this) session_.attempt = nullptr;
-    // A QUIC client goes when its worker has moved it; its session sees to that.
+    // A QUIC client disconnects when its worker has moved it; the session handles that.
     if (!ended_ && !session_.moving)
       session_.balancer->send_to_worker(EventType::connection_closed, worker_, key_, nullptr);
   }
@@ -70,6 +70,7 @@
   bool ended_ = false;
 };
 
+/// Begins attempts for the dispatcher and checks the rules on them.
 class BalancerProcess::WorkerPort : public core::WorkerSide {
  public:
   explicit WorkerPort(BalancerProcess& balancer) : balancer_(balancer) {}
--- a/src/model/client_session.cpp
+++ b/src/model/client_session.cpp
@@ -1,4 +1,4 @@
-// A client's session at a balancer of the model.
+// The session of a client at a simulated balancer.
 #include "model/balancer_parts.h"
 
 namespace marblehub::model {
@@ -6,15 +6,15 @@
 
 using policy::Outcome;
 
-constexpr std::size_t kMaxSetupSamples = 20000;  // set-up times that are kept
+constexpr std::size_t kMaxSetupSamples = 20000;  // set-up times kept per balancer
 
 }  // namespace
 
 void BalancerProcess::Session::record_final_answer() {
-  if (answered) balancer->rules_.record(Rule::one_answer, balancer->now(), "a second answer");
+  if (answered) balancer->rules_.record(Rule::one_answer, balancer->now(), "second final answer");
   answered = true;
   if (balancer->now() - call_started > balancer->scenario_.client_timeout)
-    balancer->rules_.record(Rule::answer_in_time, balancer->now(), "an answer after the client gave up");
+    balancer->rules_.record(Rule::answer_in_time, balancer->now(), "final answer after the client's timeout");
 }
 
 void BalancerProcess::Session::established(std::string_view) {
@@ -79,13 +79,13 @@
   }
   client.moved_at = balancer->now();
   if (!client.quic) return balancer->reconnect_later(*this, -1, true);
-  // Only its worker can move it: it does so a moment later, or not at all.
+  // Only its worker can move a QUIC client: it does so after a delay, or not at all.
   RandomStream rng(balancer->seed_, Purpose::client, client.id, client.rng_count);
   bool obeys = rng.uniform() < balancer->scenario_.quic_obeys;
   Time after = static_cast<Time>(rng.exponential(0.5 * kSecond));
   client.rng_count = rng.count();
   moving = true;
-  if (!obeys) return;  // it stays until it has no wish any more, unseen by this balancer
+  if (!obeys) return;  // it stays until its departure; the dispatcher no longer knows it
   Event event = balancer->make_event(EventType::attempt_ended);
   event.key = key();
   event.outcome = static_cast<std::uint8_t>(Outcome::served);
--- a/src/model/engine.cpp
+++ b/src/model/engine.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr int kSpinsBeforeYield = 2000;  // before a thread that waits for the others gives its core away
+constexpr int kSpinsBeforeYield = 2000;  // iterations of busy waiting at a barrier before the thread yields
 
-// All threads meet here; the last to come lets the others go.
+// A spinning barrier for a fixed number of threads; the last thread to arrive releases the others.
 class Barrier {
  public:
   explicit Barrier(int thread_count) : thread_count_(thread_count) {}
@@ -36,15 +36,16 @@
 
 }  // namespace
 
+// The state that the threads of one run share.
 struct Engine::State {
   explicit State(int threads) : barrier(threads), next(static_cast<std::size_t>(threads)) {}
   struct alignas(64) Earliest {
     Time when = kNever;
   };
   Barrier barrier;
-  std::vector<Earliest> next;  // the earliest event of the lanes that a thread has looked at
-  // Lanes are taken by whichever thread is free: a window lasts as long as its busiest thread, and one lane
-  // may have far more to do in it than another.
+  std::vector<Earliest> next;  // per thread: the earliest timestamp among the processes it has collected
+  // Threads take processes from shared counters, since the processes differ widely in the number of their
+  // events and a window lasts as long as its slowest thread.
   alignas(64) std::atomic<std::size_t> next_to_collect{0}, next_to_run{0};
   std::atomic<bool> failed{false};
   std::mutex error_mutex;
@@ -64,7 +65,7 @@
 void Engine::schedule_initial(Event event, Time when) {
   LogicalProcess& process = *processes_.at(event.process);
   event.when = when;
-  event.order = process.scheduled_count_++;  // lane 0's own part of the order: nothing else runs yet
+  event.order = process.scheduled_count_++;  // sender 0 is reserved for initial events
   process.push(event);
 }
 
@@ -98,7 +99,8 @@
     push(event);
     return;
   }
-  if (when < now_ + engine_->lookahead_) throw std::logic_error("an event for another lane comes too soon");
+  if (when < now_ + engine_->lookahead_)
+    throw std::logic_error("an event for another process is scheduled too soon: within the lookahead");
   LogicalProcess& other = *engine_->processes_[event.process];
   std::lock_guard lock(other.inbox_mutex_);
   other.inbox_.push_back(event);
@@ -117,19 +119,20 @@
     Time earliest = kNever;
     for (std::size_t i; (i = state.next_to_collect.fetch_add(1)) < processes_.size();) {
       LogicalProcess* process = processes_[i];
-      for (const Event& event : process->inbox_) process->push(event);  // nobody sends now: all have met
+      for (const Event& event : process->inbox_)
+        process->push(event);  // no lock needed: no process runs between the barriers
       process->inbox_.clear();
       if (!process->heap_.empty()) earliest = std::min(earliest, process->heap_.front().when);
     }
     state.next[static_cast<std::size_t>(thread)].when = earliest;
-    // Looked at where nobody can set it: once all have met, a quick thread may fail before a slow one looks,
-    // and either all end here or none.
+    // Read before the barrier, where no thread can set it: after the barrier a fast thread may already fail
+    // in the next window, and all threads have to return in the same iteration.
     bool failed = state.failed.load();
     state.barrier.wait();
     for (const State::Earliest& next : state.next) earliest = std::min(earliest, next.when);
     if (earliest >= end || failed) return;
     Time window_end = std::min(end, earliest + lookahead_);
-    if (thread == 0) state.next_to_collect = 0;  // nobody looks before all have met again
+    if (thread == 0) state.next_to_collect = 0;  // next read after the barrier below
     try {
       for (std::size_t i; (i = state.next_to_run.fetch_add(1)) < processes_.size();) {
         LogicalProcess* process = processes_[i];
@@ -151,7 +154,7 @@
       progress(window_end);
     }
     state.barrier.wait();
-    if (thread == 0) state.next_to_run = 0;  // nor runs before all have looked
+    if (thread == 0) state.next_to_run = 0;  // next read after the barrier above
   }
 }
 
--- a/src/model/engine.h
+++ b/src/model/engine.h
@@ -1,9 +1,9 @@
-// The engine: events in virtual time on lanes that run at once on several threads. An entity belongs to one
-// lane and is touched by its events only. What one lane tells another takes at least `lookahead`, so all
-// lanes may run that far ahead of the earliest event without hearing of each other (conservative
-// synchronization: Fujimoto, "Parallel Discrete Event Simulation", CACM 33(10), 1990, section "Conservative
-// Mechanisms"). Events of one moment go in the order of their lane of origin and its count, so the number of
-// threads changes nothing in the result.
+/// A parallel discrete-event simulation engine: logical processes exchange timestamped events and run on
+/// several threads. An entity belongs to one process and is accessed only by the events of that process. An
+/// event for another process is at least `lookahead` in the future, so within a window of that length the
+/// processes run independently (conservative synchronization: Fujimoto, "Parallel Discrete Event Simulation",
+/// CACM 33(10), 1990, section "Conservative Mechanisms"). Events with equal timestamps are ordered by their
+/// sender and its event count, so the result does not depend on the number of threads.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +19,21 @@
 using marblehub::policy::Time;
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 
-// A client as it goes from balancer to balancer.
+/// The state of a simulated client that travels with it from balancer to balancer.
 struct Client {
   std::uint32_t id = 0;
-  std::uint32_t rng_count = 0;             // where its stream goes on
+  std::uint32_t rng_count = 0;             // position in its random stream
   std::uint32_t group = 0;                 // 0: none
-  float load = 0;                          // work a second, in microseconds
-  Time departs_at = 0;                     // when it has no further wish
-  Time state_since = 0;                    // since when it has been without a connection
-  Time moved_at = -1;                      // when it was last told to move; -1: never
-  std::uint16_t consecutive_failures = 0;  // in a row that were refused or failed
-  bool returned = false;
+  float load = 0;                          // work per second, in microseconds of a core
+  Time departs_at = 0;                     // end of its stay: it needs no connection after that
+  Time state_since = 0;                    // start of its current period with or without a connection
+  Time moved_at = -1;                      // time of its last move request; -1: never
+  std::uint16_t consecutive_failures = 0;  // calls refused or failed since its last connection
+  bool returned = false;                   // reconnects after a lost or moved connection
   bool quic = false;
 };
 
+/// The event types, grouped by the process that handles them.
 enum class EventType : std::uint8_t {
   // At a balancer.
   dispatcher_timer,
@@ -69,12 +70,13 @@
   store_request
 };
 
+/// An event. The meaning of `outcome`, `key`, `time` and `value` depends on the type.
 struct Event {
-  Time when = 0;
-  std::uint64_t order = 0;    // lane of origin and its count
-  std::uint32_t process = 0;  // where it happens
+  Time when = 0;              // timestamp in virtual time
+  std::uint64_t order = 0;    // sender and its event count; breaks ties in `when`
+  std::uint32_t process = 0;  // the process that handles it
   EventType type = EventType::dispatcher_timer;
-  std::uint8_t outcome = 0;  // marblehub::policy::Outcome, or Health in a list
+  std::uint8_t outcome = 0;  // marblehub::policy::Outcome, or Health in an endpoint update
   std::uint32_t balancer = 0, worker = 0;
   std::uint64_t key = 0;  // of a connection attempt, a session or a message
   Time time = 0;
@@ -82,16 +84,20 @@
   Client client;
 };
 
+/// A unit of parallel execution: its events are handled one at a time, in timestamp order.
 class LogicalProcess {
  public:
   virtual ~LogicalProcess() = default;
+  /// Called for each event of this process, with now() at the timestamp of the event.
   virtual void handle(const Event& event) = 0;
 
   Time now() const { return now_; }
+  /// The index that Engine::add assigned.
   std::uint32_t number() const { return number_; }
 
  protected:
-  // At this lane, or at another no sooner than the lookahead; sooner is a defect and ends the run.
+  /// Schedules an event for `event.process`. Throws std::logic_error if that is another process and `when` is
+  /// less than the lookahead away.
   void schedule(Event event, Time when);
 
  private:
@@ -101,7 +107,7 @@
   std::uint64_t scheduled_count_ = 0;
   std::uint64_t handled_ = 0;
   Time now_ = 0;
-  // The heap holds what it is ordered by; the events lie still beside it.
+  // An entry of the heap: the sort key and the slot of the event in events_, which is not moved by the heap.
   struct HeapEntry {
     Time when;
     std::uint64_t order;
@@ -120,16 +126,20 @@
   std::vector<Event> inbox_;
 };
 
+/// Runs the logical processes. It refers to them and does not own them.
 class Engine {
  public:
   Engine(Time lookahead, int threads);
   ~Engine();
 
+  /// Registers a process before the run and returns its number.
   std::uint32_t add(LogicalProcess& process);
-  // Before the run, and with no bound on the time: to any lane.
+  /// Schedules an event before the run, at any time and for any process.
   void schedule_initial(Event event, Time when);
-  // Runs all events before `end`. Progress is told about twice a second of real time.
+  /// Runs all events before `end`. Calls `progress` with the virtual time about twice per second of real
+  /// time. Rethrows the first exception of a handler.
   void run(Time end, const std::function<void(Time)>& progress = {});
+  /// The number of events handled by all processes.
   std::uint64_t handled() const;
 
  private:
--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -10,10 +10,9 @@
 namespace {
 
 constexpr std::uint32_t kMaxWorkerProcesses = 16;
-constexpr std::uint32_t kFirstInitialClient =
-    0xff000000;  // number of the first client that stands at the start
+constexpr std::uint32_t kFirstInitialClient = 0xff000000;  // id of the first client connected at the start
 
-// What a set-up took, in steps of 5 per cent from 1 ms to 100 s; what is outside counts as at the ends.
+// A quantile of set-up times, from a histogram of 236 logarithmic bins (about 5% wide) from 1 ms to 100 s.
 double quantile(const std::vector<float>& values, double fraction) {
   using namespace boost::histogram;
   auto h = make_histogram(axis::regular<double, axis::transform::log>(236, 1, 100'000));
@@ -26,6 +25,7 @@
   return values.empty() ? 0 : 100'000.0;
 }
 
+// The entities of one run.
 class Fleet {
  public:
   Fleet(const Scenario& scenario, const RunOptions& options)
@@ -74,7 +74,7 @@
     return *worker_processes_[static_cast<std::size_t>(worker) % worker_processes_.size()];
   }
 
-  // The connections that stand at the beginning: spread as the scales tell, or all on one kind.
+  // Places the initial connections: on all workers in proportion to their scale, or on one kind.
   void place_initial_connections() {
     std::vector<double> cumulative_scale;
     double all = 0;
@@ -84,8 +84,8 @@
           kind.starts_at == 0 && (scenario_.initial_kind.empty() || scenario_.initial_kind == kind.name);
       cumulative_scale.push_back(all += eligible ? kind.scale : 0);
     }
-    // With many balancers each uses its sample of the fleet, as the module draws it: a worker's connections
-    // are at those whose sample it is in.
+    // In large fleets each balancer uses a subset of the workers, as the policy draws it: a worker's
+    // connections are at the balancers whose subset it is in.
     std::vector<int> order(workers_.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = static_cast<int>(i);
     std::sort(order.begin(), order.end(), [&](int a, int b) {
@@ -222,7 +222,7 @@
       w.served_seconds += f.served_seconds, w.cut_connections += f.cut_connections, w.crashes += f.crashes,
           w.cold_crashes += f.cold_crashes;
       for (int i = 0; i < f.cold_crashes; ++i)
-        r.rules.record(Rule::cold_crash, 0, "a cold worker was pushed over");
+        r.rules.record(Rule::cold_crash, 0, "a worker crashed from overload during slow start");
     }
     r.snapshots = snapshots(move_times);
     auto& f = r.statistics;
@@ -276,12 +276,12 @@
       auto kind = std::find_if(snapshot->kinds.begin(), snapshot->kinds.end(),
                                [&](const auto& k) { return k.first == e.statistic.substr(8); });
       if (kind == snapshot->kinds.end())
-        throw config::DecodeError(r.scenario + ": there is no " + e.statistic);
+        throw config::DecodeError(r.scenario + ": no such statistic: " + e.statistic);
       found = kind->second;
     } else if (e.at < 0 && it != r.statistics.end()) {
       found = it->second;
     } else {
-      throw config::DecodeError(r.scenario + ": expect " + e.text + ": there is no such figure");
+      throw config::DecodeError(r.scenario + ": expect " + e.text + ": no such statistic");
     }
     using Comparison = Expectation::Comparison;
     bool holds = e.comparison == Comparison::below      ? found < e.value
--- a/src/model/html_report.cpp
+++ b/src/model/html_report.cpp
@@ -1,5 +1,5 @@
-// The page of a report, from a Mustache template (mustache(5)); the plots are drawn as SVG, so the page needs
-// nothing else.
+// The HTML report, from a Mustache template (mustache(5)). Plots are inline SVG, so the page is
+// self-contained.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -25,15 +25,15 @@
 svg text { font: 11px system-ui, sans-serif; fill: #444; } figure { margin: 1.5rem 0; } .key span { margin-right: 1.2rem; }
 </style></head><body>
 <h1>{{title}}</h1>
-<p>{{seeds}} seeds each. A difference is paired by seed, with a 95% interval; one that is apart from nought is bold.</p>
+<p>{{seeds}} seeds each. A difference is paired by seed, with a 95% interval; one whose interval excludes zero is bold.</p>
 <table><tr><th></th>{{#ways}}<th>{{name}}</th>{{/ways}}</tr>
 {{#rows}}<tr><td>{{name}}</td>{{#cells}}<td>{{mean}}{{#difference}}<br><small{{#apart}} class="apart"{{/apart}}>{{text}}</small>{{/difference}}</td>{{/cells}}</tr>
 {{/rows}}</table>
 <p class="key">{{#ways}}<span style="color:{{colour}}">&#9632; {{name}}</span>{{/ways}}</p>
 {{#plots}}<figure><figcaption>{{name}}</figcaption>{{{svg}}}</figure>
 {{/plots}}
-<h2>What was expected</h2>
-<table><tr><th>way</th><th>expected</th><th>held in</th></tr>
+<h2>Expectations</h2>
+<table><tr><th>variant</th><th>expectation</th><th>holds in</th></tr>
 {{#verdicts}}<tr{{#bad}} class="bad"{{/bad}}><td>{{way}}</td><td>{{text}}</td><td>{{held}} of {{all}}</td></tr>
 {{/verdicts}}</table>
 </body></html>
@@ -41,7 +41,7 @@
 
 using Getter = double (*)(const Result::Snapshot&);
 
-// The mean over the seeds at each moment.
+// The mean over the seeds at each snapshot.
 std::vector<std::pair<double, double>> mean_curve(const Variant& variant, Getter getter) {
   std::vector<std::pair<double, double>> points;
   for (std::size_t k = 0; k < variant.results.front().snapshots.size(); ++k) {
@@ -136,11 +136,11 @@
     names.push_back(variant);
   }
   const std::pair<const char*, Getter> shown[] = {
-      {"Gap: highest less lowest load a capacity", [](const Result::Snapshot& m) { return m.gap; }},
-      {"Load of the fullest worker", [](const Result::Snapshot& m) { return m.highest; }},
-      {"Moves for balance in 10 s", [](const Result::Snapshot& m) { return m.moves; }},
-      {"Session store calls in 10 s", [](const Result::Snapshot& m) { return m.store_calls; }},
-      {"Connections that stand", [](const Result::Snapshot& m) { return m.connections; }}};
+      {"Gap: highest minus lowest load per capacity", [](const Result::Snapshot& m) { return m.gap; }},
+      {"Highest load of a worker", [](const Result::Snapshot& m) { return m.highest; }},
+      {"Planner moves per 10 s", [](const Result::Snapshot& m) { return m.moves; }},
+      {"Session store calls per 10 s", [](const Result::Snapshot& m) { return m.store_calls; }},
+      {"Established connections", [](const Result::Snapshot& m) { return m.connections; }}};
   for (const auto& [name, getter] : shown) {
     data plotted{data::type::object};
     plotted.set("name", name);
--- a/src/model/random.h
+++ b/src/model/random.h
@@ -1,7 +1,7 @@
-// Random numbers of the model: one stream an entity and purpose, so that a change in one does not shift what
-// the others draw. Philox4x32-10 by the Random123 library (Salmon et al., "Parallel Random Numbers: As Easy
-// as 1, 2, 3", SC11, section 3.3): a draw is a function of seed, purpose, entity and count, no state is
-// shared.
+/// Random numbers of the model: one stream per entity and purpose, so that a change in one stream does not
+/// shift the draws of the others. The generator is Philox4x32-10 of the Random123 library (Salmon et al.,
+/// "Parallel Random Numbers: As Easy as 1, 2, 3", SC11, section 3.3): a draw is a function of seed, purpose,
+/// entity and count, without shared state.
 #pragma once
 
 #include <Random123/philox.h>
@@ -11,6 +11,7 @@
 
 namespace marblehub::model {
 
+/// The purpose of a stream. The values are part of the generator's input: they determine the results.
 enum class Purpose : std::uint32_t {
   client = 1,
   arrival = 2,
@@ -22,9 +23,10 @@
   policy = 11
 };
 
+/// A stream of random numbers.
 class RandomStream {
  public:
-  // `count` is where the stream goes on: an entity that is copied elsewhere carries it along.
+  /// `count` is the number of draws so far: with it an entity resumes its stream at another balancer.
   RandomStream(std::uint64_t seed, Purpose purpose, std::uint64_t entity, std::uint32_t count = 0)
       : key_{{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32)}},
         entity_(entity),
@@ -44,11 +46,12 @@
     return static_cast<std::uint64_t>(uniform() * static_cast<double>(n));
   }
   double exponential(double mean) { return -mean * std::log1p(-uniform()); }
+  /// Standard normal, by the Box-Muller transform.
   double normal() {
     double u = 1 - uniform(), v = uniform();
     return std::sqrt(-2 * std::log(u)) * std::cos(6.283185307179586 * v);
   }
-  // Its mean is 1; sigma is that of the logarithm.
+  /// Log-normal with mean 1; `sigma` is the standard deviation of the logarithm.
   double lognormal(double sigma) { return std::exp(sigma * normal() - sigma * sigma / 2); }
 
  private:
--- a/src/model/rules.h
+++ b/src/model/rules.h
@@ -1,5 +1,5 @@
-// The rules that every run is held to, checked from what the model itself knows, not from what the balancer
-// believes.
+/// The rules that every run must keep. They are checked against the state of the simulation, not against the
+/// balancers' view of it.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,22 @@
 
 namespace marblehub::model {
 
+/// A rule. Several of them concern planner moves: clients moved to even out the load.
 enum class Rule {
-  one_answer,              // exactly one final answer a call
-  answer_in_time,          // and before the client gives up
-  one_attempt_at_a_time,   // no two attempts of a call are out at once
-  attempt_limit,           // no more than the scenario allows, four at most
-  no_attempt_after_drain,  // nothing new to a worker 250 ms after its drain or end was told
-  cold_crash,              // no cold worker pushed over
-  move_interval,           // no client moved for balance twice within the floor
-  balancer_limit,          // moves for balance of one balancer in any minute
-  fleet_limit,             // of all balancers in any minute
+  one_answer,              // exactly one final answer per call
+  answer_in_time,          // the final answer comes before the client times out
+  one_attempt_at_a_time,   // at most one attempt of a call is pending
+  attempt_limit,           // no more attempts per call than the scenario allows
+  no_attempt_after_drain,  // no attempt at a worker 250 ms after its drain or removal was reported
+  cold_crash,              // no worker crashes from overload during its slow start
+  move_interval,           // no two planner moves of a client within the minimum interval
+  balancer_limit,          // planner moves of one balancer in any minute
+  fleet_limit,             // planner moves of all balancers in any minute
 };
 constexpr int kRuleCount = 9;
 constexpr Time kDrainGracePeriod = 250 * kMillisecond;
 
+/// The name of a rule in the output.
 inline const char* name_of(Rule rule) {
   static const char* const names[kRuleCount] = {"one answer", "in time",        "one at a time",
                                                 "attempts",   "drained",        "cold fell",
@@ -31,12 +33,14 @@
   return names[static_cast<int>(rule)];
 }
 
+/// Counts the violations of each rule and keeps the first ones for the output.
 class RuleViolations {
  public:
   void record(Rule rule, Time when, const std::string& detail) {
     counts_[static_cast<std::size_t>(rule)] += 1;
     if (first_violations_.size() < 20) first_violations_.push_back({rule, when, detail});
   }
+  /// One violation; `detail` names the client or worker, or says what happened.
   struct Violation {
     Rule rule;
     Time when;
@@ -60,7 +64,7 @@
   std::vector<Violation> first_violations_;
 };
 
-// The most that fell within any `span`, of times in order. [t, t + span) for every t among them.
+/// The maximum number of `times` (sorted) in a window [t, t + span), over all t among them.
 inline std::size_t max_count_within(const std::vector<Time>& times, Time span) {
   std::size_t max_count = 0;
   for (std::size_t from = 0, to = 0; to < times.size(); ++to) {
--- a/src/model/scenario.cpp
+++ b/src/model/scenario.cpp
@@ -18,6 +18,7 @@
   return std::string(text.substr(from, text.find_last_not_of(" \t\r") - from + 1));
 }
 
+// Parses the lines of a scenario file, then decodes the settings.
 class Reader {
  public:
   explicit Reader(std::string source) : source_(std::move(source)) {}
@@ -55,8 +56,7 @@
     std::size_t at = line.find('=');
     if (at == line.npos) fail("expected KEY = VALUE, at ..., or expect ...");
     std::string key = trimmed(line.substr(0, at));
-    if (!values_.emplace(key, trimmed(line.substr(at + 1))).second)
-      fail("setting " + key + " is there twice");
+    if (!values_.emplace(key, trimmed(line.substr(at + 1))).second) fail("setting " + key + " appears twice");
     if (key.starts_with("workers.")) {
       std::string kind = key.substr(8, key.find('.', 8) - 8);
       if (std::find(kinds_.begin(), kinds_.end(), kind) == kinds_.end()) kinds_.push_back(kind);
@@ -105,7 +105,7 @@
     scheduled_events_.emplace_back(h, number_);
   }
 
-  // expect FIGURE [at T] below|above|at most|at least|exactly X
+  // expect STATISTIC [at T] below|above|at most|at least|exactly X
   void parse_expectation(const std::string& line) {
     Expectation e;
     e.text = trimmed(line.substr(7));
@@ -217,9 +217,9 @@
     for (auto& [h, line] : scheduled_events_) {
       number_ = line;
       if (!h.kind.empty() && s.worker(h.kind, h.number) < 0)
-        fail("there is no worker " + h.kind + "." + std::to_string(h.number));
+        fail("no such worker: " + h.kind + "." + std::to_string(h.number));
       if (h.type == ScheduledEvent::EventType::kill_balancer && (h.number < 1 || h.number > s.balancers))
-        fail("there is no balancer " + std::to_string(h.number));
+        fail("no such balancer: " + std::to_string(h.number));
       s.scheduled_events.push_back(h);
     }
     if (!s.initial_kind.empty() && s.worker(s.initial_kind, 1) < 0)
@@ -258,7 +258,7 @@
     if (worker < k.count) return {&k, worker + 1};
     worker -= k.count;
   }
-  throw std::out_of_range("there is no such worker");
+  throw std::out_of_range("no worker with this index");
 }
 
 std::string Scenario::name_of(int worker) const {
@@ -274,7 +274,7 @@
 Scenario load_scenario(const std::string& path,
                        const std::vector<std::pair<std::string, std::string>>& changes) {
   auto text = config::read_file(path);
-  if (!text) throw config::DecodeError(path + ": cannot be read");
+  if (!text) throw config::DecodeError(path + ": cannot read the file");
   return parse_scenario(*text, path, changes);
 }
 
--- a/src/model/scenario.h
+++ b/src/model/scenario.h
@@ -1,5 +1,5 @@
-// A scenario: a fleet, its clients, what happens to them and what is expected of it. docs/model.md tells the
-// form of the files; what is wrong in one is thrown with its place and key.
+/// A scenario: a fleet, its clients, scheduled events and expectations. docs/model.md describes the file
+/// format. Errors in a file are thrown as config::DecodeError with the file, the line or the key.
 #pragma once
 
 #include <string>
@@ -11,33 +11,37 @@
 
 namespace marblehub::model {
 
-struct WorkerKind {  // of workers
+/// A set of workers with equal properties.
+struct WorkerKind {
   std::string name;
   int count = 0;
-  double cores = 4, speed = 1;  // a core of speed 1 does a second of work a second
-  double scale = 0;             // as the registry tells it; 0: what it is
-  int max_connections = 0;      // connections; 0: no bound
-  Time max_queue_wait = 0;      // set-ups are refused when they would wait longer
-  Time starts_at = 0;           // when it starts, cold; 0: it is warm since long ago
+  double cores = 4, speed = 1;  // a core of speed 1 does one second of work per second
+  double scale = 0;             // capacity as registered; the default is the actual one
+  int max_connections = 0;      // 0: unlimited
+  Time max_queue_wait = 0;      // set-ups that would wait longer are refused
+  Time starts_at = 0;  // start of the workers, with slow start; 0: running and warm from the beginning
 };
 
+/// A fault or an operator action at a fixed time (`at` lines of the file).
 struct ScheduledEvent {
   enum class EventType { drain, stop, hang, slow, kill_balancer, drop, move };
   EventType type = EventType::drain;
   Time at = 0, duration = 0;
-  std::string kind;  // of workers
-  int number = 0;    // of the worker in its kind, or of the balancer
+  std::string kind;  // of the worker
+  int number = 0;    // of the worker within its kind, or of the balancer; from 1
   double value = 0;
 };
 
+/// A bound on a statistic of the run, or on a column of the snapshot at a time (`expect` lines).
 struct Expectation {
   enum class Comparison { below, above, at_most, at_least, exactly };
   std::string text, statistic;
-  Time at = -1;  // -1: over the whole run
+  Time at = -1;  // -1: the whole run
   Comparison comparison = Comparison::below;
   double value = 0;
 };
 
+/// A decoded scenario. Times are in microseconds; shares and probabilities are from 0 to 1.
 struct Scenario {
   std::string name;
   Time duration = 0;
@@ -46,25 +50,26 @@
   // Work, in microseconds of a core.
   double setup_work = 2000, probe_work = 100, group_work = 0;
   Time service_time = 0, store_time = 0;
-  double store_rate = 0;  // calls a second that the session store takes; 0: no bound
+  double store_rate = 0;  // calls per second that the session store serves; 0: unlimited
   // Clients.
   int initial_connections = 0;
-  double arrival_rate = 0;  // a second, all balancers together
-  Time arrivals_end = 0;    // 0: always
-  double mean_stay = 0;     // mean seconds
+  double arrival_rate = 0;  // clients per second at all balancers together
+  Time arrivals_end = 0;    // no new clients after this time; 0: no limit
+  double mean_stay = 0;     // seconds
   double load = 0, load_sigma = 0, heavy_share = 0, heavy_factor = 1;
   int groups = 0;
   double big_group_share = 0, quic_share = 0, quic_obeys = 1, lost_share = 0;
-  std::string initial_kind;  // the kind that holds all that stand at the start; empty: all, by scale
+  std::string initial_kind;  // the workers that hold the initial connections; empty: all, by scale
   Time reconnect_delay = 0, client_timeout = 0;
   int max_tries = 0;
-  // The net, the registry and the reports.
+  // Network, registry and load reports.
   Time hop_delay = 0, hop_jitter = 0, min_list_delay = 0, max_list_delay = 0, max_report_age = 0;
   double report_noise = 0;
-  // Cold starts and falls.
+  // Slow start, crashes from overload and periodic load.
   double cold_share = 1;
   Time warm_up_time = 0, crash_wait = 0, restart_delay = 0;
-  double wave_amplitude = 0;  // amplitude of the load of the clients of one worker, each in its own phase
+  double wave_amplitude =
+      0;  // of the sinusoidal load of a worker's clients, relative; each worker has its own phase
   Time wave_period = 0;
   Time slo = 0, message_objective = 0;
   int attempts = 4;
@@ -72,19 +77,23 @@
   std::vector<ScheduledEvent> scheduled_events;
   std::vector<Expectation> expectations;
 
+  /// The number of workers of all kinds.
   int workers() const;
-  // The number of a worker among all, by its kind and its number in it, from 1.
+  /// The index of a worker among all, by its kind and its number within it, from 1; -1 if there is none.
   int worker(const std::string& kind, int number) const;
   const WorkerKind& kind_of(int worker) const { return *locate(worker).first; }
-  std::string name_of(int worker) const;  // kind-number
+  /// KIND-NUMBER.
+  std::string name_of(int worker) const;
 
  private:
-  std::pair<const WorkerKind*, int> locate(int worker) const;  // its kind, and its number in it, from 1
+  std::pair<const WorkerKind*, int> locate(int worker) const;  // its kind and its number within it, from 1
 };
 
-// `changes` are key=value pairs that go before those of the file.
+/// Decodes the text of a scenario file. `source` names it in errors; `changes` are key-value pairs that
+/// override those of the file.
 Scenario parse_scenario(const std::string& text, const std::string& source,
                         const std::vector<std::pair<std::string, std::string>>& changes = {});
+/// Reads and decodes a scenario file.
 Scenario load_scenario(const std::string& path,
                        const std::vector<std::pair<std::string, std::string>>& changes = {});
 
--- a/src/model/worker.cpp
+++ b/src/model/worker.cpp
@@ -12,8 +12,8 @@
 using marblehub::policy::Health;
 using marblehub::policy::Outcome;
 
-constexpr double kWorkAveragingTime = 1e6;  // microseconds over which set-ups and probes are averaged
-constexpr double kMaxReportedLoad = 20;     // as a report says it
+constexpr double kWorkAveragingTime = 1e6;  // microseconds; time constant of recent_work_
+constexpr double kMaxReportedLoad = 20;     // upper bound of reported loads
 constexpr Time kHistoryStep = 20 * kMillisecond;
 
 }  // namespace
@@ -35,7 +35,7 @@
   return client;
 }
 
-// ---- One worker --------------------------------------------------------------------------------------
+// ---- Worker --------------------------------------------------------------------------------------
 
 Worker::Worker(const Scenario& scenario, int number, std::uint64_t seed)
     : scenario_(scenario),
@@ -87,7 +87,7 @@
 
 double Worker::load(Time now) const { return (demand(now) + recent_work_) / capacity(now) + queue_wait(now); }
 
-// The waiting of a queue with one service time, bounded near saturation, and what has piled up.
+// The response time of an M/D/1 queue, with the utilization bounded below 1, plus the wait for the backlog.
 Time Worker::message_delay(Time now) const {
   double utilization = std::min(0.98, (demand(now) + recent_work_) / capacity(now));
   double service = static_cast<double>(scenario_.service_time);
@@ -117,7 +117,7 @@
   connections_.erase(it);
 }
 
-// ---- Those on a lane ---------------------------------------------------------------------------------
+// ---- WorkerProcess ---------------------------------------------------------------------------------
 
 void WorkerProcess::start() {
   network_rng_ = RandomStream(seed_, Purpose::network, 1'000'000 + number());
@@ -199,7 +199,7 @@
   Event call = event;
   call.process = topology_.store;
   call.type = EventType::store_request;
-  call.time = number();  // where the answer goes
+  call.time = number();  // the process that the reply goes to
   schedule(call, now() + static_cast<Time>(wait_us) + scenario_.service_time + hop_delay());
 }
 
@@ -208,7 +208,7 @@
   w.backlog_ = 0, w.recent_work_ = 0;
   std::vector<std::uint64_t> keys;
   for (auto& [key, connection] : w.connections_) keys.push_back(key);
-  std::sort(keys.begin(), keys.end());  // the order of a hash table is not to be seen in the result
+  std::sort(keys.begin(), keys.end());  // the result must not depend on the order of the hash table
   for (std::uint64_t key : keys) {
     bool was_established = w.connections_[key].established;
     w.statistics_.cut_connections += was_established;
@@ -236,7 +236,7 @@
 
 void WorkerProcess::handle(const Event& event) {
   if (event.worker >= workers_.size() || !workers_[event.worker])
-    throw std::logic_error("an event for a worker of another lane");
+    throw std::logic_error("an event for a worker of another process");
   Worker& w = *workers_[event.worker];
   w.advance(now());
   if (w.up_ && !w.hung_ && w.queue_wait(now()) * 1e6 > static_cast<double>(scenario_.crash_wait)) {
@@ -271,7 +271,7 @@
       if (!w.up_) return reply(event, EventType::probe_reply, Outcome::connect_failed);
       w.backlog_ += scenario_.probe_work;
       w.recent_work_ += scenario_.probe_work;
-      // A hung one still answers shallow probes: its event loop runs, its work does not.
+      // A hung worker still answers probes: its event loop runs, but it does no work.
       return reply(event, EventType::probe_reply, Outcome::served, reported_load(w));
     case EventType::message_request:
       if (!w.up_ || w.hung_) return;
@@ -314,11 +314,11 @@
       return schedule(end, now() + event.time);
     }
     default:
-      throw std::logic_error("an event that no worker knows");
+      throw std::logic_error("not an event type of workers");
   }
 }
 
-// ---- The session store -------------------------------------------------------------------------------
+// ---- Store -------------------------------------------------------------------------------
 
 void Store::handle(const Event& event) {
   total_calls_ += 1;
@@ -330,7 +330,7 @@
   Time waited = free_at_ - now();
   max_wait_ = std::max(max_wait_, waited);
   Event done = event;
-  done.process = static_cast<std::uint32_t>(event.time);  // where the worker is
+  done.process = static_cast<std::uint32_t>(event.time);  // the process of the worker
   done.type = EventType::store_reply;
   schedule(done, now() + std::max(scenario_.hop_delay, waited + scenario_.store_time));
 }
--- a/tests/model_sockets_test.cpp
+++ b/tests/model_sockets_test.cpp
@@ -1,5 +1,5 @@
-// The model held against the sockets: one small scenario played by stand-ins against the real program, and by
-// the model, agree within the bounds that docs/model.md states.
+// Validates the simulation against sockets: one small scenario, run by stubs against the real program and by
+// the simulation, agrees within the bounds stated in docs/model.md.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <list>
@@ -12,10 +12,10 @@
 namespace marblehub::test {
 namespace {
 
-constexpr double kLoad = 0.008;  // of a worker, for each connection
+constexpr double kLoad = 0.008;  // of a worker, per connection
 constexpr int kClients = 90;
 
-// A worker of one core: says UP to whom it is asked for, and in its reports what the connections make.
+// A stub of a worker with one core: answers OPEN with UP and reports a load proportional to its connections.
 struct Worker {
   std::string name;
   int fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
@@ -57,12 +57,14 @@
   }
 };
 
+// A stub of a client; it reconnects when it is moved or refused.
 struct Client {
   int fd = -1;
   std::string in;
   bool up = false;
 };
 
+// The program, its registry, workers and clients, all stubs but the program.
 struct SocketFixture {
   SocketFixture(const std::string& rebalance) {
     std::ofstream(file) << rebalance;
@@ -153,7 +155,7 @@
 
 }  // namespace
 
-TEST_CASE("the model agrees with the sockets on spread, refusals and moves") {
+TEST_CASE("the simulation agrees with the sockets on spread, refusals and moves") {
   SocketFixture fixture(
       R"({"enabled": true, "dry_run": false, "gap": 0.1, "half_s": 10, "settle_s": 1, "moves_a_minute": 600})");
   for (int i = 0; i < kClients; ++i) {
@@ -166,7 +168,7 @@
   fixture.run_until(11);
   fixture.join("w3");
   fixture.run_until(58);
-  CHECK(fixture.moves == 0);  // the planner's first minute counts as spent
+  CHECK(fixture.moves == 0);  // the planner's move limit counts the first minute as used up
   fixture.run_until(100);
   int moves = fixture.moves;
   double joined_share = fixture.share(2);
@@ -195,7 +197,7 @@
   CHECK(std::abs(static_cast<double>(moves) / kClients - model::estimate(simulated_moves).mean) <= 0.15);
   CHECK(moves > 5);
 
-  // A worker that leaves: all that stood there are told to move, once each, in the one as in the other.
+  // When a worker drains, each of its clients is moved once, on sockets as in the simulation.
   int there = fixture.workers[0]->established;
   fixture.registry.set("w1", loopback_address_text(port_of(fixture.workers[0]->fd)), "draining");
   fixture.run_until(105);
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -1,4 +1,4 @@
-// The model: its engine, its files, its checks, and every scenario of the project.
+// The fleet simulation: its engine, scenario files, checks and reports, and every scenario of the project.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
@@ -27,6 +27,7 @@
 rebalance.dry_run = false
 )";
 
+// The message of the DecodeError for a scenario; empty if it is valid.
 std::string decode_error(const std::string& text) {
   try {
     parse_scenario(text, "s.txt");
@@ -36,12 +37,13 @@
   return "";
 }
 
+// Suppresses log lines below error level during a test.
 struct QuietLog {
   QuietLog() { log::threshold = log::Level::error; }
   ~QuietLog() { log::threshold = log::Level::info; }
 };
 
-// Tells the next one, and so on: each lane's sum depends on the order in which it was told.
+// Forwards each event to two other processes; its sum depends on the order in which events arrive.
 class Relay : public LogicalProcess {
  public:
   explicit Relay(std::uint32_t process_count) : process_count_(process_count) {}
@@ -62,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE("lanes give the same result on any number of threads") {
+TEST_CASE("logical processes give the same result on any number of threads") {
   auto run_relays = [](int threads) {
     Engine engine(1000, threads);
     std::vector<std::unique_ptr<Relay>> relays;
@@ -84,7 +86,7 @@
   CHECK(run_relays(4) == one);
 }
 
-TEST_CASE("an event for another lane that comes sooner than the lookahead ends the run") {
+TEST_CASE("an event for another process within the lookahead ends the run with an error") {
   struct Hasty : LogicalProcess {
     void handle(const Event& event) override {
       Event next = event;
@@ -100,14 +102,14 @@
   CHECK_THROWS_WITH(engine.run(kSecond), Catch::Contains("too soon"));
 }
 
-TEST_CASE("streams of random numbers do not shift one another") {
+TEST_CASE("random streams are independent of each other and can be resumed") {
   RandomStream a(7, Purpose::client, 1), b(7, Purpose::client, 2), again(7, Purpose::client, 1);
   std::uint64_t first = a.bits();
   b.bits();
   std::uint64_t second = a.bits();
   CHECK(again.bits() == first);
   CHECK(again.bits() == second);
-  CHECK(RandomStream(7, Purpose::client, 1, 1).bits() == second);  // carried along
+  CHECK(RandomStream(7, Purpose::client, 1, 1).bits() == second);  // resumed at its count
   CHECK(RandomStream(8, Purpose::client, 1).bits() != first);
   CHECK(RandomStream(7, Purpose::arrival, 1).bits() != first);
   RandomStream stream(3, Purpose::worker, 9);
@@ -120,7 +122,7 @@
   CHECK(std::abs(squares / 20000 - 1) < 0.05);
 }
 
-TEST_CASE("the same seed gives the same bytes, on any number of threads; another seed others") {
+TEST_CASE("the output depends on the seed but not on the number of threads") {
   QuietLog quiet;
   Scenario s = parse_scenario(kSmall, "small");
   std::string one = run(s, {.seed = 4}).text();
@@ -128,19 +130,19 @@
   CHECK(run(s, {.seed = 4, .threads = 3}).text() == one);
   CHECK(run(s, {.seed = 5}).text() != one);
   Result logged = run(s, {.seed = 4, .log = true});
-  CHECK(logged.text() == one);  // that somebody looks on changes nothing
+  CHECK(logged.text() == one);  // logging does not change the result
   CHECK(logged.log.find("is told to move") != std::string::npos);
 }
 
-TEST_CASE("what is wrong in a scenario is told with its place and key") {
+TEST_CASE("errors in a scenario name the line or the key") {
   CHECK(decode_error(kSmall).empty());
   CHECK(decode_error("name = x\nseconds = 5\nworkers.a.count = 2\nclients.load_us = 1\n")
             .find("clients.stay_s") != std::string::npos);
   CHECK(decode_error(kSmall + "clients.colour = red\n").find("clients.colour: expected no such key") !=
         std::string::npos);
-  CHECK(decode_error(kSmall + "balancers = 2\n").find("s.txt:14: setting balancers is there twice") !=
+  CHECK(decode_error(kSmall + "balancers = 2\n").find("s.txt:14: setting balancers appears twice") !=
         std::string::npos);
-  CHECK(decode_error(kSmall + "at 5 drain old.9 for 3\n").find("s.txt:14: there is no worker old.9") !=
+  CHECK(decode_error(kSmall + "at 5 drain old.9 for 3\n").find("s.txt:14: no such worker: old.9") !=
         std::string::npos);
   CHECK(decode_error(kSmall + "at 5 paint old.1\n").find("not 'paint'") != std::string::npos);
   CHECK(decode_error(kSmall + "expect gap at 5 nearly 3\n").find("expected below, above") !=
@@ -152,7 +154,7 @@
   CHECK_THROWS_AS(run(parse_scenario(kSmall + "expect joy above 1\n", "s"), {}), config::DecodeError);
 }
 
-TEST_CASE("expectations are judged by what was found, not by what was wished") {
+TEST_CASE("expectations are checked against the statistics of the run") {
   QuietLog quiet;
   Result r = run(
       parse_scenario(
@@ -165,9 +167,9 @@
   CHECK_FALSE(r.passed());
 }
 
-TEST_CASE("a cold worker that is pushed over breaks a rule, and one that hangs loses worth") {
+TEST_CASE("a crash during slow start breaks a rule, and a hung worker lowers the served share") {
   QuietLog quiet;
-  // The registry says that it is as big as the other, and a set-up takes it seconds while it is cold.
+  // The new worker is registered with the capacity of the old one, but a cold set-up takes it seconds.
   std::string text = R"(
 name = crushed
 seconds = 60
@@ -194,16 +196,16 @@
   CHECK(with_hang < normal);
 }
 
-TEST_CASE("the most within any minute is found wherever it lies") {
+TEST_CASE("the maximum count within any minute is found at every position") {
   std::vector<Time> times;
   for (int i = 0; i < 10; ++i) times.push_back(i * 30 * kSecond);
-  CHECK(max_count_within(times, 60 * kSecond) == 2);  // half open: the third falls out
+  CHECK(max_count_within(times, 60 * kSecond) == 2);  // half-open window: the third is outside
   times.insert(times.begin() + 5, 3, times[5] - 1);
   CHECK(max_count_within(times, 60 * kSecond) == 5);
   CHECK(max_count_within({}, 60 * kSecond) == 0);
 }
 
-TEST_CASE("means come with their intervals, paired ones too") {
+TEST_CASE("means have confidence intervals") {
   Estimate e = estimate({1, 2, 3, 4, 5});
   CHECK(e.mean == Approx(3));
   CHECK(e.half_width == Approx(1.9632).epsilon(0.001));  // t(4) = 2.776, sd 1.5811
@@ -212,11 +214,11 @@
   CHECK_FALSE(estimate({4}).significant());
 }
 
-TEST_CASE("a report is one page that needs nothing else") {
+TEST_CASE("a report is one self-contained page") {
   QuietLog quiet;
   Scenario with = parse_scenario(kSmall + "expect calls above 1\n", "s"), without = with;
   without.rebalance.enabled = false;
-  // Five seeds: with two, whether a difference counts as one hangs on the luck of the draw.
+  // Five seeds, so that the difference in moves is significant.
   std::vector<Job> jobs;
   for (const Scenario& s : {with, without})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) jobs.push_back({s, seed});
@@ -234,8 +236,7 @@
   CHECK(table(variants, kComparedStatistics).find("without less with") != std::string::npos);
 }
 
-TEST_CASE(
-    "in steady load the gap narrows at every step of ten seconds, and to a quarter within three minutes") {
+TEST_CASE("in steady load the gap narrows every ten seconds, and to a quarter within three minutes") {
   QuietLog quiet;
   Scenario s = load_scenario(MARBLEHUB_SOURCE "/scenarios/warm-evening.txt");
   std::vector<Job> jobs;
@@ -248,7 +249,7 @@
     INFO(r.text());
     REQUIRE(quarter != r.snapshots.end());
     CHECK(quarter->at - widest->at <= 180);
-    // From the second step on: in the first the new ones have only begun.
+    // From the second snapshot on: in the first interval the new workers have only just started.
     for (auto m = widest + 2; m <= quarter; ++m) CHECK(m->gap < (m - 1)->gap);
     Scenario off = s;
     off.rebalance.enabled = false;
@@ -258,7 +259,7 @@
   }
 }
 
-TEST_CASE("every scenario of the project comes out as it expects") {
+TEST_CASE("every scenario of the project meets its expectations") {
   QuietLog quiet;
 #ifdef __SANITIZE_ADDRESS__
   const std::uint64_t seeds = 1;
@@ -267,7 +268,7 @@
 #endif
   std::vector<Job> jobs;
   for (const auto& entry : std::filesystem::directory_iterator(MARBLEHUB_SOURCE "/scenarios")) {
-    if (entry.path().stem() == "large-fleet") continue;  // measured by hand: docs/model.md
+    if (entry.path().stem() == "large-fleet") continue;  // too large for a test: docs/model.md
     Scenario s = load_scenario(entry.path().string());
     CHECK(s.name == entry.path().stem().string());
     CHECK_FALSE(s.expectations.empty());
--- a/tools/marblehub_model.cpp
+++ b/tools/marblehub_model.cpp
@@ -100,7 +100,7 @@
   return all_good;
 }
 
-// The ways to compare: variants of one file if --way is given, else one per file.
+// The variants to compare: variants of one file if --way is given, else one per file.
 std::vector<std::pair<std::string, Scenario>> load_variants(const Arguments& args) {
   std::vector<std::pair<std::string, Scenario>> variants;
   if (args.variants.empty()) {
