--- a/src/model/scenario.h
+++ b/src/model/scenario.h
@@ -19,7 +19,7 @@
   double scale = 0;             // capacity as registered; the default is the actual one
   int max_connections = 0;      // 0: unlimited
   Time max_queue_wait = 0;      // set-ups that would wait longer are refused
-  Time starts_at = 0;  // start of the workers, with slow start; 0: running and warm from the beginning
+  Time starts_at = 0;           // start time, with slow start; 0: running and warm from the beginning
 };
 
 /// A fault or an operator action at a fixed time (`at` lines of the file).
@@ -59,7 +59,7 @@
   double load = 0, load_sigma = 0, heavy_share = 0, heavy_factor = 1;
   int groups = 0;
   double big_group_share = 0, quic_share = 0, quic_obeys = 1, lost_share = 0;
-  std::string initial_kind;  // the workers that hold the initial connections; empty: all, by scale
+  std::string initial_kind;  // kind of workers with the initial connections; empty: all, by scale
   Time reconnect_delay = 0, client_timeout = 0;
   int max_tries = 0;
   // Network, registry and load reports.
@@ -68,8 +68,7 @@
   // Slow start, crashes from overload and periodic load.
   double cold_share = 1;
   Time warm_up_time = 0, crash_wait = 0, restart_delay = 0;
-  double wave_amplitude =
-      0;  // of the sinusoidal load of a worker's clients, relative; each worker has its own phase
+  double wave_amplitude = 0;  // relative, of a sine that scales the load; the phase differs by worker
   Time wave_period = 0;
   Time slo = 0, message_objective = 0;
   int attempts = 4;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// What a hundred balancers that share nothing do together: each test counts over all of them on one clock.
+// The combined behaviour of many balancers that share no state: each test sums over all of them on one clock.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -12,6 +12,7 @@
 
 constexpr int kBalancers = 100;
 
+// Balancers of one fleet, each with its own index and seed.
 std::vector<std::unique_ptr<PolicyFixture>> fleet(Settings s = PolicyFixture::settings(),
                                                   int balancers = kBalancers) {
   std::vector<std::unique_ptr<PolicyFixture>> all;
@@ -24,9 +25,9 @@
 
 }  // namespace
 
-// Each suspect is looked at again within a moment, which is little for three balancers and was most of what
-// the workers did when a hundred that had a call or two each all suspected the same ones.
-TEST_CASE("the probes of a hundred balancers stay under what their calls are worth") {
+// Guards against probe load that grows with the number of balancers: each balancer probes suspected workers
+// repeatedly, and in a large fleet with few calls these probes could outweigh the calls.
+TEST_CASE("the probe cost of a hundred balancers stays in proportion to their calls") {
   Settings s = expensive_probes();
   auto all = fleet(s);
   double calls = 0, probes = 0;
@@ -36,7 +37,7 @@
       if (second % 12 == 3) b->ask(), calls += 1;
       std::size_t answered = b->probes.size();
       b->run(1'000'000);
-      for (; answered < b->probes.size(); ++answered) {  // three are silent, three full, the others well
+      for (; answered < b->probes.size(); ++answered) {  // three are silent, three full, the others healthy
         const std::string& worker = b->probes[answered].second;
         bool silent = worker == "1" || worker == "2" || worker == "3";
         bool full = worker == "4" || worker == "5" || worker == "6";
@@ -48,12 +49,13 @@
     }
     probes += static_cast<double>(b->probes.size());
   }
-  // 0.0045 points for each call, for the first hundred of the fleet and for one a second: 0.0018 a probe.
+  // The probe budget is 0.0045 for each call, for 100 initial calls of the fleet and for one call per second;
+  // a probe costs 0.0018.
   CHECK(probes <= (calls + 100 + 30) * 0.0045 / 0.0018 + kBalancers);
-  CHECK(probes >= calls);  // and none is blind
+  CHECK(probes >= calls);  // no balancer is without reports
 }
 
-TEST_CASE("a balancer without calls still finds that a down worker is back") {
+TEST_CASE("a balancer without calls still detects that a down worker has recovered") {
   Settings s = expensive_probes();
   s.balancers = kBalancers;
   PolicyFixture b(s);
@@ -68,9 +70,9 @@
   CHECK(b.balancer.down_backends().empty());
 }
 
-// One call says that its group is all there is: a balancer that believed it spread every group over the
-// fleet.
-TEST_CASE("groups keep to a few workers though each of a hundred balancers sees two calls") {
+// Guards against a balancer that takes the group of its only call for its whole load and spreads the group
+// over the fleet.
+TEST_CASE("groups stay on a few workers although each of a hundred balancers has only two calls") {
   Settings s = PolicyFixture::settings();
   s.groups = true;
   std::map<std::uint64_t, std::set<std::string>> by_group;
@@ -85,9 +87,9 @@
   for (auto& [group, workers] : by_group) CHECK(workers.size() <= 4);
 }
 
-// Each balancer of a big fleet once looked at its own seventh of the workers, in which a group's home is
-// mostly not found, and drew any worker of that seventh: 300 balancers scattered every group over all.
-TEST_CASE("a group of 300 balancers and 90 workers keeps to a few of these, and goes on when they fill") {
+// Guards against scattering a group when each balancer considers only a subset of the workers, which usually
+// does not contain the group's preferred worker.
+TEST_CASE("with 300 balancers a group stays on a few of 90 workers and moves on when they are full") {
   Settings s = PolicyFixture::settings();
   s.groups = true;
   std::vector<BackendEntry> ninety;
@@ -105,23 +107,24 @@
     on_big += std::stoi(worker.substr(1)) % 3 == 0;
   }
   CHECK(home.size() <= 6);
-  CHECK(on_big >= 200);  // each worker pays for the group once: few big ones pay less often
+  CHECK(on_big >= 200);  // each worker bears the cost of the group once, so few large workers cost least
   for (auto& b : all) {
     for (const std::string& worker : home) b->report(worker, 0.97);
     next.insert(b->ask(7));
   }
-  CHECK(next.size() <= 8);  // all go on to the same ones
+  CHECK(next.size() <= 8);  // all balancers move on to the same workers
   for (const std::string& worker : home) CHECK(next.count(worker) == 0);
 }
 
-// What one balancer sends was reckoned as if half of the fleet sent the same: 300 balancers took each worker
-// for stuck once they had used it, and moved off it whoever stood there.
-TEST_CASE("one of 300 balancers does not take a worker for stuck because it has sent one call there") {
+// Guards against extrapolating the calls of one balancer to the fleet: a single call would then mark its
+// worker as overloaded and move the connections off it.
+TEST_CASE("one of 300 balancers does not consider a worker stuck after sending it one call") {
   Settings s = PolicyFixture::settings();
   s.balancers = 300;
   PolicyFixture b(s);
   b.list(EndpointListKind::full, twelve_workers());
-  b.hold("1", 1);  // one of few: the load of all is reckoned to be a few connections of each balancer
+  b.hold("1",
+         1);  // one of few connections: the load of the fleet is estimated as a few connections per balancer
   for (int i = 1; i <= 12; ++i) b.report(std::to_string(i), 0.7);
   b.run(1'000'000);
   for (int i = 0; i < 3; ++i) b.ask();
@@ -129,9 +132,9 @@
   CHECK(b.moved.empty());
 }
 
-// Where probes are dear the last report may be minutes old: a call asks its worker first, and goes elsewhere
-// if that one is full.
-TEST_CASE("a call asks a worker of which nothing new is known before it is sent there") {
+// Guards against placing calls by outdated reports: with expensive probes the last report may be minutes old,
+// so the worker is probed before the call is sent, and another one is chosen if it is full.
+TEST_CASE("a worker without a recent report is probed before a call is sent to it") {
   Settings s = expensive_probes();
   s.balancers = kBalancers;
   int sent_to_full = 0, asked = 0;
@@ -142,7 +145,7 @@
     b.run(10'000'000);
     b.probes.clear();
     b.handle(RequestEvent{900, 0, 2'000'000, 0, false, 0});
-    for (int turn = 0; turn < 20 && !b.placed.count(900); ++turn) {
+    for (int round = 0; round < 20 && !b.placed.count(900); ++round) {
       for (auto& [at, worker] : std::exchange(b.probes, {}))
         b.report(worker, worker == "1" ? 1.2 : 0.2), asked += 1;
       b.run(50'000);
@@ -154,8 +157,8 @@
   CHECK(sent_to_full <= 2);
 }
 
-// Where no report ever comes, a call that asks first only waits, twice 30 ms, and pays for two probes.
-TEST_CASE("a call is sent at once where the settings say that probes tell no load") {
+// Guards against useless probes before a call where probes report no load.
+TEST_CASE("a call is sent at once if the settings say that probes report no load") {
   Settings s = expensive_probes();
   s.load_reported = false;
   PolicyFixture b(s);
@@ -166,9 +169,9 @@
   CHECK(b.probes.size() == before);
 }
 
-// What a cold worker is sent is counted over the whole fleet: a crowd that comes back must not be its end,
-// and yet it must not stand idle while the others drown, though each balancer has a call every ten seconds.
-TEST_CASE("a hundred balancers with a call now and then use a cold worker, and a crowd does not flood it") {
+// Guards against both errors of slow start in a large fleet with few calls per balancer: overloading a cold
+// worker with returning clients, and leaving it idle while the others are overloaded.
+TEST_CASE("a hundred balancers with few calls use a cold worker, and a burst of calls does not overload it") {
   auto cold_after = [](int calls_at_once) {
     Settings s = PolicyFixture::settings();
     int cold = 0;
@@ -177,31 +180,32 @@
       b->list(EndpointListKind::full, twelve_workers());
       b->hold("2", 1);
       b->run(1'000'000);
-      BackendEntry young = PolicyFixture::entry("1", Health::serving);
-      young.start_time = b->now;
-      b->list(EndpointListKind::changes, {young});
+      BackendEntry cold_worker = PolicyFixture::entry("1", Health::serving);
+      cold_worker.start_time = b->now;
+      b->list(EndpointListKind::changes, {cold_worker});
       b->run(4'000'000);
-      for (int i = 2; i <= 12; ++i) b->report(std::to_string(i), 0.97);  // the others drown
-      b->run(50'000);  // who is open to a cold worker is drawn at each sweep
+      for (int i = 2; i <= 12; ++i) b->report(std::to_string(i), 0.97);  // the others are overloaded
+      b->run(50'000);  // each sweep draws which balancers may use a cold worker
       b->placed.clear();
       for (int i = 0; i < calls_at_once; ++i) cold += b->ask() == "1";
     }
     return cold;
   };
-  // One connection for each balancer, a twelfth of them to each worker: 0.27 of that is warm by then.
+  // One connection per balancer, a twelfth of them for each worker; the cold one has warmed up to 0.27 by
+  // then.
   CHECK(cold_after(1) >= 1);
   CHECK(cold_after(1) <= 25);
   CHECK(cold_after(10) <= 3 * 25);
 }
 
-// A release: half of the fleet is new, and the old half is full. Counted out to each balancer in tokens of
-// its own, the capacity of the new ones was missed by a call in four here, and on the days of 300 by most.
-TEST_CASE("300 balancers fill the new half of 90 workers while the old half drowns, and push none over") {
+// A release: half of the workers are new and the old half is full. Guards against dividing the capacity of
+// the new workers into per-balancer tokens, with which many calls miss it.
+TEST_CASE("300 balancers fill the new half of 90 workers while the old half is full, and overload none") {
   Settings s = PolicyFixture::settings();
   s.groups = true;
-  std::vector<BackendEntry> ninety = workers(90), young;
+  std::vector<BackendEntry> ninety = workers(90), cold_workers;
   for (std::size_t i = 1; i < ninety.size(); i += 2)
-    young.push_back(ninety[i]), young.back().start_time = 1'000'000;
+    cold_workers.push_back(ninety[i]), cold_workers.back().start_time = 1'000'000;
   auto cold = [](const std::string& worker) { return !worker.empty() && std::stoi(worker) % 2 == 0; };
   std::map<std::string, int> sent;
   int found = 0, most = 0;
@@ -210,15 +214,14 @@
     b->now = 1'000'000;
     b->list(EndpointListKind::full, ninety);
     b->hold("1", 1);
-    b->list(EndpointListKind::changes, young);
+    b->list(EndpointListKind::changes, cold_workers);
     b->run(6'000'000);
     for (const BackendEntry& entry : ninety) b->report(entry.address, cold(entry.address) ? 0.2 : 0.97);
     b->run(50'000);
     group = group % 25 + 1;
     std::uint64_t id = b->next_id;
     b->ask(group);
-    b->run(1'000'000);  // a call may wait for one of its group's cold workers to be open, a third of its time
-                        // at most
+    b->run(1'000'000);  // a call may wait up to a third of its deadline for a cold worker of its group
     const std::string& at = b->placed[id];
     if (cold(at)) found += 1, most = std::max(most, sent[at] += 1);
   }
@@ -226,18 +229,17 @@
   CHECK(most <= 30);
 }
 
-// One connection says little of its group's size. Of 300 balancers with a few each, all with sets three
-// workers wide, every group stood on many, and each of them pays for it: half as much load again after a
-// release.
-TEST_CASE("where balancers hold a connection or two, a group keeps to one worker while it has capacity") {
+// Guards against spreading groups over many workers when balancers hold only a few connections each, which
+// say little about the size of a group: each worker that serves a group bears its cost.
+TEST_CASE("where balancers hold few connections, a group stays on one worker while that has capacity") {
   Settings s = PolicyFixture::settings();
   s.groups = true;
-  std::vector<BackendEntry> young = workers(60);
-  for (std::size_t i = 1; i < young.size(); i += 2) young[i].start_time = 1'000'000;
+  std::vector<BackendEntry> cold_workers = workers(60);
+  for (std::size_t i = 1; i < cold_workers.size(); i += 2) cold_workers[i].start_time = 1'000'000;
   std::map<std::uint64_t, std::set<std::string>> by_group;
   for (auto& b : fleet(s, 300)) {
     b->now = 1'000'000;
-    b->list(EndpointListKind::full, young);
+    b->list(EndpointListKind::full, cold_workers);
     b->hold("1", 1);
     b->run(6'000'000);
     for (std::uint64_t group = 1; group <= 10; ++group) b->ask(group);
@@ -249,57 +251,58 @@
   CHECK(pairs <= 20);
 }
 
-// Started together and refused for 20 s, a hundred must neither call in step nor oftener, and be back soon
-// after.
-TEST_CASE("a registry that refuses a hundred balancers is called ever less, never in step, and found again") {
+// Guards against synchronized retries: balancers that start together and are refused for 20 s must back off
+// with jitter and reconnect soon after the outage.
+TEST_CASE("a hundred balancers back off from a failing registry with jitter and reconnect after the outage") {
   Settings s = PolicyFixture::settings();
   s.pull_endpoints = true;
   std::map<Time, int> calls;  // by tenths of a second
-  constexpr Time kTrouble = 20'000'000;
+  constexpr Time kOutage = 20'000'000;
   for (std::uint64_t seed = 0; seed < 5; ++seed) {
     calls.clear();
     for (int me = 0; me < kBalancers; ++me) {
       s.balancers = kBalancers, s.balancer_index = me;
       PolicyFixture b(s, seed * 1000 + static_cast<std::uint64_t>(me));
       b.list(EndpointListKind::cached, twelve_workers());
-      bool told = false;
-      for (std::size_t answered = 0; b.now < kTrouble + 10'000'000 && !told;) {
+      bool list_received = false;
+      for (std::size_t answered = 0; b.now < kOutage + 10'000'000 && !list_received;) {
         b.run(50'000);
-        for (; answered < b.watch_times.size() && !told; ++answered) {
+        for (; answered < b.watch_times.size() && !list_received; ++answered) {
           calls[b.now / 100'000] += 1;
-          told = b.now > kTrouble;
-          b.list(told ? EndpointListKind::full : EndpointListKind::failed,
-                 told ? twelve_workers() : std::vector<BackendEntry>());
+          list_received = b.now > kOutage;
+          b.list(list_received ? EndpointListKind::full : EndpointListKind::failed,
+                 list_received ? twelve_workers() : std::vector<BackendEntry>());
         }
       }
-      CHECK(told);  // within 10 s of the trouble's end
+      CHECK(list_received);  // within 10 s after the outage
     }
     int late = 0;
     for (auto [tenth, count] : calls) {
-      CHECK(count <= 20);  // a fifth of the fleet in a tenth of a second would be in step
+      CHECK(count <= 20);  // a fifth of the fleet in a tenth of a second would be synchronized
       if (tenth >= 100 && tenth < 200) late += count;
     }
-    CHECK(late <= 10 * 30);  // thirty a second once they have failed a few times
+    CHECK(late <= 10 * 30);  // thirty per second after the first failures
   }
 }
 
-// After a loss of everything all workers are cold. Tokens that follow accepted connections alone never come
-// then.
-TEST_CASE("a fleet that is wholly cold serves what cold workers bear, and answers every call") {
+// After a restart of the whole fleet all workers are cold. Guards against slow-start tokens that are granted
+// only in proportion to accepted connections: none would be granted then.
+TEST_CASE("a fully cold fleet serves what cold workers can take, and answers every call") {
   std::size_t placed = 0, calls = 0;
   for (auto& b : fleet()) {
     b->now = 1'000'000;
-    std::vector<BackendEntry> young = twelve_workers();
-    for (BackendEntry& entry : young) entry.start_time = b->now;
-    b->list(EndpointListKind::full, young);
+    std::vector<BackendEntry> cold_workers = twelve_workers();
+    for (BackendEntry& entry : cold_workers) entry.start_time = b->now;
+    b->list(EndpointListKind::full, cold_workers);
     for (std::uint64_t id = 1; id <= 4; ++id) {
       b->handle(RequestEvent{id, 0, 2'000'000, 0, true, 0});
-      bool stands = false;
+      bool established = false;
       for (int step = 0; step < 60; ++step) {
         b->run(50'000);
-        if (b->placed.count(id) && !std::exchange(stands, true)) b->handle(EstablishedEvent{id, 0, 1000});
+        if (b->placed.count(id) && !std::exchange(established, true))
+          b->handle(EstablishedEvent{id, 0, 1000});
       }
-      CHECK(stands + std::count(b->rejected.begin(), b->rejected.end(), id) == 1);
+      CHECK(established + std::count(b->rejected.begin(), b->rejected.end(), id) == 1);
     }
     placed += b->placed.size(), calls += 4;
   }
