--- a/tests/fleet/processes/balancers.h
+++ b/tests/fleet/processes/balancers.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "fleet/processes/fake_environment.h"
 #include "fleet/processes/links.h"
-#include "fleet/processes/stand_ins.h"
 
 namespace marblehub::test {
 
--- a/tests/fleet/processes/stand_ins.cpp
+++ b/tests/fleet/processes/fake_environment.cpp
@@ -1,4 +1,4 @@
-#include "fleet/processes/stand_ins.h"
+#include "fleet/processes/fake_environment.h"
 
 #include <fcntl.h>
 
--- a/tests/fleet/processes/verdicts.cpp
+++ b/tests/fleet/processes/receipt_analysis.cpp
@@ -1,4 +1,4 @@
-#include "fleet/processes/verdicts.h"
+#include "fleet/processes/receipt_analysis.h"
 
 #include <algorithm>
 
--- a/tests/fleet/processes/verdicts.h
+++ b/tests/fleet/processes/receipt_analysis.h
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "fleet/processes/stand_ins.h"
+#include "fleet/processes/fake_environment.h"
 
 namespace marblehub::test {
 
--- a/tests/fleet/processes/rules.h
+++ b/tests/fleet/processes/rules.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/processes/stand_ins.h"
+#include "fleet/processes/fake_environment.h"
 
 namespace marblehub::test {
 
--- a/tests/fleet/processes/scenario_player.h
+++ b/tests/fleet/processes/scenario_player.h
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
+#include "fleet/processes/receipt_analysis.h"
 #include "fleet/processes/rules.h"
 #include "fleet/processes/scenario.h"
-#include "fleet/processes/verdicts.h"
 
 namespace marblehub::test {
 
