--- a/tests/fleet/processes/balancers.h
+++ b/tests/fleet/processes/balancers.h
@@ -15,7 +15,7 @@
 namespace marblehub::test {
 
 // What the whole fleet has in common: FLEET.json's keys laid over the usual ones, as JSON text.
-struct Fleet {
+struct FleetSetup {
   int members = 5;
   int voters = 0;  // the first of them; 0: none
   std::uint64_t seed = 1;
@@ -23,76 +23,78 @@
   int workers = 0;  // with some the whole program is started, with its fronts; else fleet_node
 };
 
-class Balancers {
+class BalancerProcesses {
  public:
-  Balancers(const Fleet& fleet, const std::string& program);
-  ~Balancers();
-  Balancers(const Balancers&) = delete;
+  BalancerProcesses(const FleetSetup& fleet, const std::string& program);
+  ~BalancerProcesses();
+  BalancerProcesses(const BalancerProcesses&) = delete;
 
   const std::vector<std::string>& names() const { return names_; }
   Links& links() { return *links_; }
-  StandIns* stand_ins() { return stand_ins_.get(); }  // null without workers
-  void calls(const std::string& name, double a_second, const std::string& fields);
+  FakeEnvironment* fake_environment() { return fake_environment_.get(); }  // null without workers
+  void set_call_rate(const std::string& name, double calls_per_second, const std::string& fields);
   // A file of the operator's in the member's folder, to which settings may point as FOLDER/NAME.
-  void file(const std::string& name, const std::string& file, const std::string& text);
+  void write_file(const std::string& name, const std::string& file, const std::string& text);
 
   void start(const std::string& name);
-  void signal(const std::string& name, int number);  // SIGSTOP and SIGCONT are remembered
-  void wipe(const std::string& name);                // its disk is lost; while it is down
-  void keep_disk(const std::string& name);           // a copy of its disk, for `restore`
-  void restore(const std::string& name);
-  void clock(const std::string& name, std::int64_t off_us);
-  void disk_full(const std::string& name, bool full);  // no file of it takes an octet more, while it runs
-  void settings(const std::string& more) { fleet_.settings = more; }   // of those started from now on
-  bool running(const std::string& name) const;                         // and not stopped
-  bool killed(const std::string& name, double from, double to) const;  // at a time between the two
+  void send_signal(const std::string& name, int number);  // SIGSTOP and SIGCONT are remembered
+  void wipe_disk(const std::string& name);                // its disk is lost; while it is down
+  void copy_disk(const std::string& name);                // a copy of its disk, for `restore`
+  void restore_disk(const std::string& name);
+  void set_clock_offset(const std::string& name, std::int64_t offset_us);
+  void set_disk_full(const std::string& name, bool full);  // no file of it takes an octet more, while it runs
+  void set_settings(const std::string& extra_settings) {
+    fleet_.settings = extra_settings;
+  }                                                                           // of those started from now on
+  bool running(const std::string& name) const;                                // and not stopped
+  bool killed_during(const std::string& name, double from, double to) const;  // at a time between the two
   // Whether it ran from then to then, neither stopped, ended nor told to end.
-  bool ran(const std::string& name, double from, double to) const;
+  bool ran_throughout(const std::string& name, double from, double to) const;
   int exit_code(const std::string& name);  // -1: it has not ended
 
   // Reads what they say, for so long.
-  void pump(double seconds);
+  void collect_output(double seconds);
   double now() const;  // seconds since the start of the harness
 
   // The counters as they are now; asked for by SIGUSR1. False: it did not answer within a second.
-  bool counters(const std::vector<std::string>& of);
+  bool refresh_counters(const std::vector<std::string>& members);
   double counter(const std::string& name, const std::string& metric) const;  // as last printed; -1: none
-  const std::map<std::string, double>& counters_of(const std::string& name) const {
-    return ones_.at(name).counters;
+  const std::map<std::string, double>& last_counters(const std::string& name) const {
+    return processes_.at(name).counters;
   }
-  bool said(const std::string& name, const std::string& text) const;  // since its last start
-  void note(const std::string& who, const std::string& what);
+  bool has_logged(const std::string& name, const std::string& text) const;  // since its last start
+  void log_event(const std::string& who, const std::string& what);
   std::string timeline() const;
 
  private:
-  struct One {
-    std::string name, address, folder, partial;
+  struct Process {
+    std::string name, address, folder, partial_line;
     pid_t pid = 0;
-    int out = -1, code = -1, starts = 0, prints = 0;
+    int output_fd = -1, exit_code = -1, starts = 0, counter_prints = 0;
     bool stopped = false;
-    std::vector<std::pair<double, double>> kills;  // from the signal until it was seen gone
+    std::vector<std::pair<double, double>> kill_windows;  // from the signal until it was seen gone
     std::map<std::string, double> counters;
     std::vector<std::string> lines;
-    std::vector<std::pair<double, double>> away;  // when it did not run; the last may not be over
+    std::vector<std::pair<double, double>> downtimes;  // when it did not run; the last may not be over
   };
-  void gone(One& one);
-  void back(One& one);
+  void mark_down(Process& process);
+  void mark_up(Process& process);
   std::string front(const std::string& name) const;
-  void write_files(One& one);
-  void read(One& one);
-  void take(One& one, const std::string& line);
-  void collect_exit(One& one);
-  One& at(const std::string& name) { return ones_.at(name); }
+  void write_config_files(Process& process);
+  void read(Process& process);
+  void handle_line(Process& process, const std::string& line);
+  void collect_exit(Process& process);
+  Process& at(const std::string& name) { return processes_.at(name); }
 
-  Fleet fleet_;
+  FleetSetup fleet_;
   const std::string program_;
   std::string folder_;
   std::vector<std::string> names_;
-  std::map<std::string, One> ones_;
+  std::map<std::string, Process> processes_;
   std::unique_ptr<Links> links_;
-  std::unique_ptr<StandIns> stand_ins_;
-  std::map<std::string, std::map<std::string, std::string>> via_;
-  std::int64_t began_;
+  std::unique_ptr<FakeEnvironment> fake_environment_;
+  std::map<std::string, std::map<std::string, std::string>> link_addresses_;
+  std::int64_t started_ms_;
   struct Event {
     double at;
     std::string who, what;
--- a/tests/fleet/processes/fake_environment.cpp
+++ b/tests/fleet/processes/fake_environment.cpp
@@ -12,9 +12,9 @@
 namespace marblehub::test {
 namespace {
 
-constexpr double kClientTimeout = 4;  // seconds a client waits for its answer
-constexpr double kEach = 0.5;         // seconds between two of its lines
-constexpr double kSilent = 7;         // that a connection may bring nothing back
+constexpr double kAnswerTimeoutS = 4;      // seconds a client waits for its answer
+constexpr double kMessageIntervalS = 0.5;  // seconds between two of its lines
+constexpr double kSilenceTimeoutS = 7;     // that a connection may bring nothing back
 
 void send_line(int fd, const std::string& text) {
   std::string line = text + "\r\n";
@@ -23,11 +23,11 @@
 
 }  // namespace
 
-struct StandIns::Registry {
-  peers::StubRegistry stand_in;
+struct FakeEnvironment::Registry {
+  peers::StubRegistry server;
 };
 
-struct StandIns::Worker {
+struct FakeEnvironment::Worker {
   std::string name;
   int fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
   struct Conn {
@@ -50,129 +50,130 @@
   }
 };
 
-struct StandIns::Client {
+struct FakeEnvironment::Client {
   int fd = -1;
   Answer answer;
   std::string line, in;
-  bool sent = false, stands = false;
-  Ending ending;  // once it stands
-  double spoke = 0, heard = 0, until = 0;
+  bool sent = false, established = false;
+  ConnectionEnd ending;  // once it stands
+  double last_sent = 0, last_received = 0, end_time = 0;
   ~Client() {
     if (fd >= 0) ::close(fd);
   }
 };
 
-StandIns::StandIns(int workers, std::int64_t began_ms)
-    : began_(began_ms), registry_(std::make_unique<Registry>()) {
+FakeEnvironment::FakeEnvironment(int workers, std::int64_t started_ms)
+    : started_ms_(started_ms), registry_(std::make_unique<Registry>()) {
   for (int i = 1; i <= workers; ++i) {
     workers_.push_back(std::make_unique<Worker>("w" + std::to_string(i)));
-    registry_->stand_in.set(workers_.back()->name, loopback_address_text(port_of(workers_.back()->fd)),
-                            "ready");
+    registry_->server.set(workers_.back()->name, loopback_address_text(port_of(workers_.back()->fd)),
+                          "ready");
   }
   thread_ = std::thread([this] { run(); });
 }
 
-StandIns::~StandIns() {
+FakeEnvironment::~FakeEnvironment() {
   stop_ = true;
   thread_.join();
 }
 
-int StandIns::registry_port() const { return registry_->stand_in.port(); }
+int FakeEnvironment::registry_port() const { return registry_->server.port(); }
 
-std::string StandIns::known() const {
+std::string FakeEnvironment::worker_list_json() const {
   std::lock_guard lock(mutex_);
-  return registry_->stand_in.list().dump();
+  return registry_->server.list().dump();
 }
 
-double StandIns::now() const {
+double FakeEnvironment::now() const {
   using namespace std::chrono;
   auto us = duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
-  return static_cast<double>(us - began_ * 1000) / 1e6;
+  return static_cast<double>(us - started_ms_ * 1000) / 1e6;
 }
 
-void StandIns::calls(const std::string& balancer, const std::string& address, double a_second,
-                     const std::string& fields) {
+void FakeEnvironment::set_call_rate(const std::string& balancer, const std::string& address,
+                                    double calls_per_second, const std::string& fields) {
   std::lock_guard lock(mutex_);
-  sources_[{balancer, fields}] = {address, a_second, now()};
+  call_sources_[{balancer, fields}] = {address, calls_per_second, now()};
 }
 
-void StandIns::obey() {
+void FakeEnvironment::honor_retry_after() {
   std::lock_guard lock(mutex_);
-  obey_ = true;
+  honor_retry_after_ = true;
 }
 
-void StandIns::silent(const std::string& worker, bool on) {
+void FakeEnvironment::set_silent(const std::string& worker, bool on) {
   std::lock_guard lock(mutex_);
   for (auto& w : workers_)
     if (w->name == worker) w->silent = on;
 }
 
-void StandIns::stall(const std::string& worker, double seconds) {
+void FakeEnvironment::stall(const std::string& worker, double seconds) {
   std::lock_guard lock(mutex_);
   for (auto& w : workers_)
     if (w->name == worker) w->stalled_until = now() + seconds;
 }
 
-void StandIns::stall(double seconds) {
+void FakeEnvironment::stall(double seconds) {
   std::lock_guard lock(mutex_);
   stalled_until_ = now() + seconds;
 }
 
-void StandIns::stay(double seconds) {
+void FakeEnvironment::set_connection_duration(double seconds) {
   std::lock_guard lock(mutex_);
-  stay_ = seconds;
+  connection_duration_ = seconds;
 }
 
-int StandIns::moved() const {
+int FakeEnvironment::moved_count() const {
   std::lock_guard lock(mutex_);
-  return static_cast<int>(std::count_if(endings_.begin(), endings_.end(),
-                                        [](const Ending& e) { return e.how == Ending::moved; }));
+  return static_cast<int>(
+      std::count_if(connection_ends_.begin(), connection_ends_.end(),
+                    [](const ConnectionEnd& e) { return e.cause == ConnectionEnd::moved; }));
 }
 
-std::vector<Ending> StandIns::endings() const {
+std::vector<ConnectionEnd> FakeEnvironment::connection_ends() const {
   std::lock_guard lock(mutex_);
-  return endings_;
+  return connection_ends_;
 }
 
-std::vector<Told> StandIns::told() const {
+std::vector<WorkerEvent> FakeEnvironment::worker_events() const {
   std::lock_guard lock(mutex_);
-  return told_;
+  return worker_events_;
 }
 
-void StandIns::worker(const std::string& name, const std::string& what) {
+void FakeEnvironment::change_worker(const std::string& name, const std::string& what) {
   std::lock_guard lock(mutex_);
   auto it = std::find_if(workers_.begin(), workers_.end(), [&](auto& w) { return w->name == name; });
   if (it == workers_.end()) throw std::runtime_error("no such worker: " + name);
   Worker& worker = **it;
   if (what == "drain") {
-    registry_->stand_in.set(name, loopback_address_text(port_of(worker.fd)), "draining");
-    told_.push_back({now(), name, "draining"});
+    registry_->server.set(name, loopback_address_text(port_of(worker.fd)), "draining");
+    worker_events_.push_back({now(), name, "draining"});
   } else if (what == "kill") {
     worker.end();
-    told_.push_back({now(), name, "killed"});
+    worker_events_.push_back({now(), name, "killed"});
   } else if (what == "start") {
     worker.end();
     worker.fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
     ::listen(worker.fd, 256);
     auto unix_ms = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
-    registry_->stand_in.set(name, loopback_address_text(port_of(worker.fd)), "ready", unix_ms);
-    told_.push_back({now(), name, "started"});
+    registry_->server.set(name, loopback_address_text(port_of(worker.fd)), "ready", unix_ms);
+    worker_events_.push_back({now(), name, "started"});
   } else {
     throw std::runtime_error("drain, kill or start expected, not " + what);
   }
 }
 
-std::vector<Receipt> StandIns::receipts() const {
+std::vector<Receipt> FakeEnvironment::receipts() const {
   std::lock_guard lock(mutex_);
   return receipts_;
 }
 
-std::vector<Answer> StandIns::answers() const {
+std::vector<Answer> FakeEnvironment::answers() const {
   std::lock_guard lock(mutex_);
   return answers_;
 }
 
-void StandIns::run() {
+void FakeEnvironment::run() {
   while (!stop_) {
     {
       std::lock_guard lock(mutex_);
@@ -182,22 +183,23 @@
   }
 }
 
-void StandIns::step() {
-  registry_->stand_in.step();
+void FakeEnvironment::step() {
+  registry_->server.step();
   for (auto& worker : workers_)
     if (now() >= worker->stalled_until) step(*worker);
   ask();
-  auto ended = std::stable_partition(clients_.begin(), clients_.end(),
-                                     [&](auto& c) { return c->stands ? stand(*c) : step(*c); });
+  auto ended = std::stable_partition(clients_.begin(), clients_.end(), [&](auto& c) {
+    return c->established ? serve_established(*c) : step(*c);
+  });
   std::vector<std::unique_ptr<Client>> over(std::make_move_iterator(ended),
                                             std::make_move_iterator(clients_.end()));
   clients_.erase(ended, clients_.end());
   for (auto& client : over)
-    if (const Answer& a = client->answer; client->stands && client->ending.how == Ending::moved)
-      ask(a.balancer, a.fields, sources_.at({a.balancer, a.fields}).address, ",again=1");
+    if (const Answer& a = client->answer; client->established && client->ending.cause == ConnectionEnd::moved)
+      ask(a.balancer, a.fields, call_sources_.at({a.balancer, a.fields}).address, ",again=1");
 }
 
-void StandIns::step(Worker& worker) {
+void FakeEnvironment::step(Worker& worker) {
   for (int c;
        worker.fd >= 0 && (c = ::accept4(worker.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
     worker.conns.push_back({c, ""});
@@ -225,40 +227,40 @@
   std::erase_if(worker.conns, [](const Worker::Conn& conn) { return conn.fd < 0; });
 }
 
-void StandIns::ask() {
-  for (auto& [key, source] : sources_)
-    for (; source.a_second > 0 && source.next <= now(); source.next += 1 / source.a_second)
+void FakeEnvironment::ask() {
+  for (auto& [key, source] : call_sources_)
+    for (; source.calls_per_second > 0 && source.next <= now(); source.next += 1 / source.calls_per_second)
       ask(key.first, key.second, source.address);
-  for (; !later_.empty() && later_.begin()->first <= now(); later_.erase(later_.begin())) {
-    const auto& key = later_.begin()->second;
-    ask(key.first, key.second, sources_.at(key).address);
+  for (; !retries_.empty() && retries_.begin()->first <= now(); retries_.erase(retries_.begin())) {
+    const auto& key = retries_.begin()->second;
+    ask(key.first, key.second, call_sources_.at(key).address);
   }
 }
 
-void StandIns::ask(const std::string& balancer, const std::string& fields, const std::string& address,
-                   const std::string& more) {
+void FakeEnvironment::ask(const std::string& balancer, const std::string& fields, const std::string& address,
+                          const std::string& extra_fields) {
   auto client = std::make_unique<Client>();
-  client->answer = {now(), 0, std::to_string(++calls_) + "-" + balancer, balancer, fields, ""};
-  client->line = "OPEN " + client->answer.call + " " + std::to_string(calls_) + " c=telemetry,d=2900" +
-                 (fields.empty() ? "" : "," + fields) + more;
+  client->answer = {now(), 0, std::to_string(++call_count_) + "-" + balancer, balancer, fields, ""};
+  client->line = "OPEN " + client->answer.call + " " + std::to_string(call_count_) + " c=telemetry,d=2900" +
+                 (fields.empty() ? "" : "," + fields) + extra_fields;
   client->fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   sockaddr_in to = *config::parse_address(address);
   ::connect(client->fd, reinterpret_cast<sockaddr*>(&to), sizeof to);
   clients_.push_back(std::move(client));
 }
 
-bool StandIns::step(Client& client) {
+bool FakeEnvironment::step(Client& client) {
   auto over = [&](const std::string& text) {
     client.answer.at = now();
     client.answer.text = text;
     answers_.push_back(client.answer);
-    if (obey_ && text.starts_with("BUSY "))
-      later_.emplace(now() + std::atof(text.c_str() + 5) / 1000,
-                     std::pair(client.answer.balancer, client.answer.fields));
+    if (honor_retry_after_ && text.starts_with("BUSY "))
+      retries_.emplace(now() + std::atof(text.c_str() + 5) / 1000,
+                       std::pair(client.answer.balancer, client.answer.fields));
     return false;
   };
   pollfd ready{client.fd, static_cast<short>(client.sent ? POLLIN : POLLOUT), 0};
-  if (::poll(&ready, 1, 0) <= 0) return now() - client.answer.asked < kClientTimeout || over("none");
+  if (::poll(&ready, 1, 0) <= 0) return now() - client.answer.asked < kAnswerTimeoutS || over("none");
   if (!client.sent) {
     int error = 0;
     socklen_t size = sizeof error;
@@ -276,21 +278,22 @@
   if (end == std::string::npos) return true;
   over(client.in.substr(0, end));
   client.in.erase(0, end + 2);
-  client.stands = stay_ > 0 && client.answer.text.starts_with("UP ");
-  if (!client.stands) return false;
+  client.established = connection_duration_ > 0 && client.answer.text.starts_with("UP ");
+  if (!client.established) return false;
   const std::string worker = client.answer.text.substr(3);
-  client.ending = {now(), 0, Ending::own, client.answer.call, client.answer.balancer, worker, ""};
-  client.until = now() + stay_;
-  client.spoke = client.heard = now();
+  client.ending = {now(),  0, ConnectionEnd::by_client, client.answer.call, client.answer.balancer,
+                   worker, ""};
+  client.end_time = now() + connection_duration_;
+  client.last_sent = client.last_received = now();
   return true;
 }
 
-bool StandIns::stand(Client& client) {
-  auto over = [&](Ending::How how, const std::string& line = "") {
+bool FakeEnvironment::serve_established(Client& client) {
+  auto over = [&](ConnectionEnd::Cause cause, const std::string& line = "") {
     client.ending.at = now();
-    client.ending.how = how;
+    client.ending.cause = cause;
     client.ending.line = line;
-    endings_.push_back(client.ending);
+    connection_ends_.push_back(client.ending);
     return false;
   };
   char buffer[512];
@@ -298,22 +301,23 @@
   if (n > 0) client.in.append(buffer, static_cast<std::size_t>(n));
   for (std::size_t end; (end = client.in.find("\r\n")) != std::string::npos; client.in.erase(0, end + 2)) {
     std::string line = client.in.substr(0, end);
-    if (line == "MOVE") return over(Ending::moved);
-    if (!line.starts_with("say ")) return over(Ending::stray, line);
-    client.heard = now();
+    if (line == "MOVE") return over(ConnectionEnd::moved);
+    if (!line.starts_with("say ")) return over(ConnectionEnd::unexpected_line, line);
+    client.last_received = now();
   }
-  if (n == 0 || (n < 0 && errno != EAGAIN)) return over(Ending::cut);
-  if (now() >= client.until) return over(Ending::own);
-  if (now() - client.heard > kSilent) return over(Ending::silent);
-  if (now() - client.spoke > kEach) {
-    client.spoke = now();
+  if (n == 0 || (n < 0 && errno != EAGAIN)) return over(ConnectionEnd::dropped);
+  if (now() >= client.end_time) return over(ConnectionEnd::by_client);
+  if (now() - client.last_received > kSilenceTimeoutS) return over(ConnectionEnd::silent);
+  if (now() - client.last_sent > kMessageIntervalS) {
+    client.last_sent = now();
     send_line(client.fd, "say " + client.answer.call);
   }
   return true;
 }
 
-std::string in_order(const std::vector<Receipt>& receipts,
-                     const std::map<std::uint64_t, std::vector<std::string>>& pools, double bound) {
+std::string check_version_order(const std::vector<Receipt>& receipts,
+                                const std::map<std::uint64_t, std::vector<std::string>>& pools,
+                                double bound) {
   std::map<std::uint64_t, double> first;  // receipt by that version
   auto version = [&](const Receipt& r) -> std::uint64_t {
     for (const auto& [number, workers] : pools)
--- a/tests/fleet/processes/links.h
+++ b/tests/fleet/processes/links.h
@@ -39,37 +39,37 @@
   Counts counts();
 
  private:
-  struct Pair;
-  struct Conn;
-  struct Packet {
+  struct Link;
+  struct Stream;
+  struct DelayedDatagram {
     std::int64_t due = 0;
     std::uint64_t order = 0;
-    Pair* pair = nullptr;
-    std::string octets;
-    bool operator<(const Packet& other) const {  // the earliest first
+    Link* link = nullptr;
+    std::string bytes;
+    bool operator<(const DelayedDatagram& other) const {  // the earliest first
       return due != other.due ? due > other.due : order > other.order;
     }
   };
-  struct Watched {  // what epoll names
-    enum { udp, listener, near_end, far_end, wake } kind = wake;
-    Pair* pair = nullptr;
-    Conn* conn = nullptr;
+  struct EpollTarget {  // what epoll names
+    enum { udp, listener, source_end, target_end, wake } kind = wake;
+    Link* link = nullptr;
+    Stream* stream = nullptr;
   };
   void run();
-  void datagrams(Pair& pair, std::int64_t now);
-  void accept(Pair& pair);
-  void read(Conn& conn, std::int64_t now);
-  void pump(std::int64_t now);
-  bool pump(Conn& conn, std::int64_t now);  // false: it is over
-  void watch(int fd, Watched& what, bool add = true);
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  void receive_datagrams(Link& link, std::int64_t now);
+  void accept(Link& link);
+  void read_stream(Stream& stream, std::int64_t now);
+  void forward_due(std::int64_t now);
+  bool forward_due(Stream& stream, std::int64_t now);  // false: it is over
+  void set_watched(int fd, EpollTarget& what, bool add = true);
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
 
   std::mutex mutex_;
-  std::mt19937_64 random_;
-  std::map<std::pair<std::string, std::string>, std::unique_ptr<Pair>> pairs_;
-  std::map<Conn*, std::unique_ptr<Conn>> conns_;
-  std::priority_queue<Packet> late_;
-  std::uint64_t order_ = 0;
+  std::mt19937_64 rng_;
+  std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>> links_;
+  std::map<Stream*, std::unique_ptr<Stream>> streams_;
+  std::priority_queue<DelayedDatagram> delayed_;
+  std::uint64_t next_order_ = 0;
   Counts counts_;
   int epoll_;
   std::atomic<bool> stop_ = false;
--- a/tests/fleet/processes/receipt_analysis.cpp
+++ b/tests/fleet/processes/receipt_analysis.cpp
@@ -4,13 +4,13 @@
 
 namespace marblehub::test {
 
-std::uint64_t version_of(const Receipt& receipt, const PoolsOf& pools) {
+std::uint64_t version_of(const Receipt& receipt, const PoolsByVersion& pools) {
   for (const auto& [version, workers] : pools)
     if (std::find(workers.begin(), workers.end(), receipt.worker) != workers.end()) return version;
   return 0;
 }
 
-std::set<std::string> placed_by(const std::vector<Receipt>& receipts, const PoolsOf& pools,
+std::set<std::string> placed_by(const std::vector<Receipt>& receipts, const PoolsByVersion& pools,
                                 std::uint64_t version, double since) {
   std::set<std::string> balancers;
   for (const Receipt& r : receipts)
@@ -18,14 +18,15 @@
   return balancers;
 }
 
-Switch switched(const std::vector<Receipt>& receipts, const PoolsOf& pools, std::uint64_t version) {
+VersionSwitch find_switch(const std::vector<Receipt>& receipts, const PoolsByVersion& pools,
+                          std::uint64_t version) {
   std::map<std::string, double> first;
   for (const Receipt& r : receipts)
     if (version_of(r, pools) == version) {
       auto known = first.emplace(r.balancer, r.at).first;
       known->second = std::min(known->second, r.at);
     }
-  Switch s;
+  VersionSwitch s;
   s.balancers = first.size();
   for (const auto& [balancer, at] : first) {
     s.first = s.first == 0 ? at : std::min(s.first, at);
--- a/tests/fleet/processes/receipt_analysis.h
+++ b/tests/fleet/processes/receipt_analysis.h
@@ -9,22 +9,24 @@
 
 namespace marblehub::test {
 
-using PoolsOf = std::map<std::uint64_t, std::vector<std::string>>;  // by version: the workers that it names
+using PoolsByVersion =
+    std::map<std::uint64_t, std::vector<std::string>>;  // by version: the workers that it names
 
 // 0: a worker of no pool.
-std::uint64_t version_of(const Receipt& receipt, const PoolsOf& pools);
+std::uint64_t version_of(const Receipt& receipt, const PoolsByVersion& pools);
 
 // Balancers with a receipt by `version` (0: by any worker) at `since` or later.
-std::set<std::string> placed_by(const std::vector<Receipt>& receipts, const PoolsOf& pools,
+std::set<std::string> placed_by(const std::vector<Receipt>& receipts, const PoolsByVersion& pools,
                                 std::uint64_t version, double since);
 
 // Of a switch to `version`: the first receipt by it of the first balancer and of the last one, and how many
 // have one.
-struct Switch {
+struct VersionSwitch {
   double first = 0, last = 0;
   std::size_t balancers = 0;
 };
-Switch switched(const std::vector<Receipt>& receipts, const PoolsOf& pools, std::uint64_t version);
+VersionSwitch find_switch(const std::vector<Receipt>& receipts, const PoolsByVersion& pools,
+                          std::uint64_t version);
 
 // The longest time in which one of those named placed nothing, begun at `since` or later and over since.
 double longest_gap(const std::vector<Receipt>& receipts, const std::string& balancer, double since);
--- a/tests/fleet/processes/rules.h
+++ b/tests/fleet/processes/rules.h
@@ -11,25 +11,26 @@
 namespace marblehub::test {
 
 // Whether that balancer may be blamed for what happened in [from, to]: it ran all the while.
-using Blamed = std::function<bool(const std::string& balancer, double from, double to)>;
+using Accountable = std::function<bool(const std::string& balancer, double from, double to)>;
 
-struct Seen {
+struct Observations {
   std::vector<Receipt> receipts;
   std::vector<Answer> answers;
-  std::vector<Ending> endings;
-  std::vector<Told> told;
+  std::vector<ConnectionEnd> connection_ends;
+  std::vector<WorkerEvent> worker_events;
 };
 
 // One final answer a call, `within` seconds of its asking; after UP nothing that no worker sent.
-std::string one_answer(const Seen& seen, double within, const Blamed& blamed);
+std::string check_single_answer(const Observations& observed, double max_seconds,
+                                const Accountable& accountable);
 // Nothing new at a worker later than `grace` seconds after it was told to drain, until it is started again.
-std::string drains_kept(const Seen& seen, double grace, const Blamed& blamed);
+std::string check_drains(const Observations& observed, double grace, const Accountable& accountable);
 // Whoever stands at a draining worker is moved within `within` seconds; no connection is cut off or silent
 // while its balancer runs and its worker lives.
-std::string moved_in_order(const Seen& seen, double within, const Blamed& blamed);
+std::string check_moves(const Observations& observed, double max_seconds, const Accountable& accountable);
 // A worker that has just started gets at most `most` calls in its first `seconds`, from all together.
-std::string cold_spared(const Seen& seen, std::size_t most, double seconds);
+std::string check_cold_starts(const Observations& observed, std::size_t max_calls, double seconds);
 // A call comes to at most so many workers.
-std::string attempts_bounded(const Seen& seen, int most);
+std::string check_attempts(const Observations& observed, int max_attempts);
 
 }  // namespace marblehub::test
--- a/tests/fleet/processes/scenario.cpp
+++ b/tests/fleet/processes/scenario.cpp
@@ -6,22 +6,23 @@
 
 namespace marblehub::test {
 
-Verdict play(const std::string& text, const std::string& node, const std::string& whole) {
-  ScenarioPlayer player(node, whole);
+ScenarioResult play_scenario(const std::string& text, const std::string& node_program,
+                             const std::string& balancer_program) {
+  ScenarioPlayer player(node_program, balancer_program);
   std::istringstream lines(text);
   std::string line;
   int number = 0;
   try {
     while (std::getline(lines, line)) {
       ++number;
-      player.line(line.substr(0, line.find('#')));
+      player.play_line(line.substr(0, line.find('#')));
     }
   } catch (const std::exception& error) {
-    player.verdict.good = false;
-    player.verdict.why = "line " + std::to_string(number) + ": " + error.what();
-    player.verdict.timeline = player.timeline();
+    player.result.passed = false;
+    player.result.why = "line " + std::to_string(number) + ": " + error.what();
+    player.result.timeline = player.timeline();
   }
-  return player.verdict;
+  return player.result;
 }
 
 }  // namespace marblehub::test
--- a/tests/fleet/processes/scenario.h
+++ b/tests/fleet/processes/scenario.h
@@ -61,12 +61,13 @@
 
 namespace marblehub::test {
 
-struct Verdict {
-  bool good = true;
+struct ScenarioResult {
+  bool passed = true;
   std::string why, timeline;
-  std::vector<std::pair<std::string, double>> took;  // an expectation, and seconds until it held
+  std::vector<std::pair<std::string, double>> durations;  // an expectation, and seconds until it held
 };
 
-Verdict play(const std::string& text, const std::string& node, const std::string& whole);
+ScenarioResult play_scenario(const std::string& text, const std::string& node_program,
+                             const std::string& balancer_program);
 
 }  // namespace marblehub::test
--- a/tests/fleet/processes/scenario_player.h
+++ b/tests/fleet/processes/scenario_player.h
@@ -20,31 +20,32 @@
 
 using Names = std::vector<std::string>;
 
-struct Failed : std::runtime_error {
+struct ExpectationFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class ScenarioPlayer {
  public:
-  ScenarioPlayer(const std::string& node, const std::string& whole) : node_(node), whole_(whole) {}
+  ScenarioPlayer(const std::string& node_program, const std::string& balancer_program)
+      : node_program_(node_program), balancer_program_(balancer_program) {}
 
-  void line(const std::string& text);
-  Verdict verdict;
+  void play_line(const std::string& text);
+  ScenarioResult result;
   std::string timeline() { return fleet_ ? fleet_->timeline() : ""; }
 
  private:
-  bool header(const std::string& verb, std::istream& in);
+  bool setup_step(const std::string& verb, std::istream& in);
 
-  void step(const std::string& verb, std::istream& in);
+  void play_step(const std::string& verb, std::istream& in);
 
   static void each(const Names& names, const std::function<void(const std::string&)>& act);
-  static double number(std::istream& in);
-  static void word(std::istream& in, const std::string& expected);
+  static double read_number(std::istream& in);
+  static void expect_word(std::istream& in, const std::string& expected);
 
-  Names named(const std::string& text) const;
-  Names who(std::istream& in) const;
+  Names parse_names(const std::string& text) const;
+  Names read_names(std::istream& in) const;
 
-  void pump_until(double when);
+  void run_until(double when);
 
   void mark();
 
@@ -59,34 +60,34 @@
 
   void cut(std::istream& in, bool now = true);
   void flap(std::istream& in);
-  void worsen(const std::string& what, std::istream& in);
+  void degrade_links(const std::string& what, std::istream& in);
 
-  Names live(const Names& names) const;
+  Names running_members(const Names& names) const;
   std::map<std::string, double> given_up() const;
-  bool see(const Names& names, double alive);
-  void until(double seconds, const std::string& what, const std::function<bool()>& holds,
-             double again = 0.03);
+  bool all_see(const Names& names, double alive);
+  void wait_until(double seconds, const std::string& what, const std::function<bool()>& holds,
+                  double poll_interval = 0.03);
 
   void expect(std::istream& in);
   std::set<std::string> placed(std::uint64_t version, double since);
-  void expect_placing(const Names& names, const std::string& whole, std::istream& words);
-  void expect_versions(const std::string& what, const std::string& whole);
-  void expect_calls(const std::string& whole);
-  void expect_spread(const std::string& whole);
+  void expect_placing(const Names& names, const std::string& expectation, std::istream& words);
+  void expect_versions(const std::string& what, const std::string& expectation);
+  void expect_calls(const std::string& expectation);
+  void expect_spread(const std::string& expectation);
   void expect_rules();
-  void expect_receipts(const std::string& whole);
-  static bool all(const Names& names, const std::function<bool(const std::string&)>& holds);
+  void expect_receipts(const std::string& expectation);
+  static bool all_of_members(const Names& names, const std::function<bool(const std::string&)>& holds);
 
-  const std::string node_, whole_;
+  const std::string node_program_, balancer_program_;
   std::map<std::uint64_t, Names> pools_;
-  Fleet wanted_;
-  std::optional<Balancers> fleet_;
-  double marked_ = 0, hup_at_ = 0;
-  std::mt19937_64 drawn_;  // moments and lengths; seeded with the scenario's seed
+  FleetSetup setup_;
+  std::optional<BalancerProcesses> fleet_;
+  double marked_at_ = 0, hup_sent_at_ = 0;
+  std::mt19937_64 rng_;  // moments and lengths; seeded with the scenario's seed
   std::string leader_;
-  std::map<std::string, double> given_up_;
-  std::map<std::string, std::map<std::string, double>> at_mark_;
-  std::string state_;  // of the last look, for the failure's line
+  std::map<std::string, double> given_up_at_mark_;
+  std::map<std::string, std::map<std::string, double>> counters_at_mark_;
+  std::string last_state_;  // of the last look, for the failure's line
 };
 
 }  // namespace marblehub::test
--- a/tests/fleet/processes/scenarios_test.cpp
+++ b/tests/fleet/processes/scenarios_test.cpp
@@ -14,23 +14,23 @@
 void run(const std::string& file) {
   auto text = config::read_file(file);
   REQUIRE(text);
-  Verdict verdict = play(*text, MARBLEHUB_FLEET_NODE, MARBLEHUB_PROGRAM);
-  if (!verdict.good) std::cerr << file << ": " << verdict.why << '\n' << verdict.timeline << std::flush;
-  for (const auto& [what, seconds] : verdict.took)
+  ScenarioResult result = play_scenario(*text, MARBLEHUB_FLEET_NODE, MARBLEHUB_PROGRAM);
+  if (!result.passed) std::cerr << file << ": " << result.why << '\n' << result.timeline << std::flush;
+  for (const auto& [what, seconds] : result.durations)
     if (std::getenv("MARBLEHUB_TOOK"))
       std::cerr << file.substr(file.rfind('/') + 1) << ": " << what << ": " << seconds << " s\n";
-  INFO(verdict.why);
-  REQUIRE(verdict.good);
+  INFO(result.why);
+  REQUIRE(result.passed);
 }
 
-void shipped(const std::string& name) {
+void run_shipped(const std::string& name) {
   run(MARBLEHUB_SOURCE "/tests/fleet/processes/scenarios/" + name + ".txt");
 }
 
 }  // namespace
 
 #define FLEET_SCENARIO(name, tags) \
-  TEST_CASE("scenario " name, tags) { shipped(name); }
+  TEST_CASE("scenario " name, tags) { run_shipped(name); }
 
 // The two longest begin first: others are played beside them
 FLEET_SCENARIO("routes_moves", "[scenario]")
@@ -90,44 +90,46 @@
   const std::map<std::uint64_t, std::vector<std::string>> pools = {
       {1, {"w1", "w2"}}, {2, {"w3"}}, {3, {"w4"}}};
   auto took = [](double at, const char* worker) { return Receipt{at, worker, "c", "b1", ""}; };
-  CHECK(in_order({took(1, "w1"), took(2, "w3"), took(2.04, "w2"), took(3, "w4")}, pools, 0.05).empty());
-  CHECK(in_order({took(2.06, "w2"), took(2, "w3")}, pools, 0.05).find("w2 by version 1") !=
+  CHECK(check_version_order({took(1, "w1"), took(2, "w3"), took(2.04, "w2"), took(3, "w4")}, pools, 0.05)
+            .empty());
+  CHECK(check_version_order({took(2.06, "w2"), took(2, "w3")}, pools, 0.05).find("w2 by version 1") !=
         std::string::npos);
-  CHECK(in_order({took(1, "w1"), took(2, "w4"), took(2.1, "w3")}, pools, 0.05).find("version 3") !=
+  CHECK(check_version_order({took(1, "w1"), took(2, "w4"), took(2.1, "w3")}, pools, 0.05).find("version 3") !=
         std::string::npos);
-  CHECK(in_order({took(1, "w9"), took(2, "w3"), took(3, "w9")}, pools, 0.05).empty());
+  CHECK(check_version_order({took(1, "w9"), took(2, "w3"), took(3, "w9")}, pools, 0.05).empty());
 }
 
 TEST_CASE("what breaks the program's own rules is found") {
-  const Blamed all = [](auto&, double, double) { return true; };
-  const Blamed but_b1 = [](const std::string& b, double, double) { return b != "b1"; };
-  Seen seen;
-  seen.told = {{1, "w1", "draining"}, {8, "w1", "started"}, {3, "w2", "killed"}};
-  seen.answers = {{1, 1.2, "c1", "b1", "", "UP w1"}, {1, 2.5, "c2", "b1", "", "BUSY 100"}};
-  seen.receipts = {{1.2, "w1", "c1", "b1", ""}, {8.1, "w1", "c3", "b1", ""}};
-  seen.endings = {{0, 4, Ending::moved, "c4", "b1", "w1", ""}, {0, 3, Ending::cut, "c5", "b1", "w2", ""}};
-  CHECK(one_answer(seen, 2, all).empty());
-  CHECK(drains_kept(seen, 0.3, all).empty());
-  CHECK(moved_in_order(seen, 5, all).empty());
-  CHECK(cold_spared(seen, 1, 2).empty());
-  CHECK(attempts_bounded(seen, 1).empty());
+  const Accountable all = [](auto&, double, double) { return true; };
+  const Accountable but_b1 = [](const std::string& b, double, double) { return b != "b1"; };
+  Observations observed;
+  observed.worker_events = {{1, "w1", "draining"}, {8, "w1", "started"}, {3, "w2", "killed"}};
+  observed.answers = {{1, 1.2, "c1", "b1", "", "UP w1"}, {1, 2.5, "c2", "b1", "", "BUSY 100"}};
+  observed.receipts = {{1.2, "w1", "c1", "b1", ""}, {8.1, "w1", "c3", "b1", ""}};
+  observed.connection_ends = {{0, 4, ConnectionEnd::moved, "c4", "b1", "w1", ""},
+                              {0, 3, ConnectionEnd::dropped, "c5", "b1", "w2", ""}};
+  CHECK(check_single_answer(observed, 2, all).empty());
+  CHECK(check_drains(observed, 0.3, all).empty());
+  CHECK(check_moves(observed, 5, all).empty());
+  CHECK(check_cold_starts(observed, 1, 2).empty());
+  CHECK(check_attempts(observed, 1).empty());
 
-  seen.answers.push_back({1, 3.5, "late", "b1", "", "BUSY 100"});
-  CHECK(one_answer(seen, 2, all).find("late") != std::string::npos);
-  CHECK(one_answer(seen, 2, but_b1).empty());
-  seen.answers = {{1, 1.2, "none", "b1", "", "closed"}};
-  CHECK(one_answer(seen, 2, all).find("none") != std::string::npos);
-  seen.receipts.push_back({1.4, "w1", "drained", "b1", ""});
-  CHECK(drains_kept(seen, 0.3, all).find("drained") != std::string::npos);
-  seen.endings = {{0, 6.5, Ending::own, "stayed", "b1", "w1", ""}};
-  CHECK(moved_in_order(seen, 5, all).find("stayed") != std::string::npos);
-  seen.endings = {{0, 2, Ending::cut, "cut", "b1", "w1", ""}};
-  CHECK(moved_in_order(seen, 5, all).find("cut") != std::string::npos);
-  seen.endings = {{0, 2, Ending::stray, "two", "b1", "w1", "BUSY"}};
-  CHECK(one_answer(seen, 2, but_b1).find("two") != std::string::npos);
-  seen.receipts.insert(seen.receipts.end(), 2, {8.2, "w1", "again", "b1", ""});
-  CHECK(cold_spared(seen, 2, 2).find("w1") != std::string::npos);
-  CHECK(attempts_bounded(seen, 1).find("again") != std::string::npos);
+  observed.answers.push_back({1, 3.5, "late", "b1", "", "BUSY 100"});
+  CHECK(check_single_answer(observed, 2, all).find("late") != std::string::npos);
+  CHECK(check_single_answer(observed, 2, but_b1).empty());
+  observed.answers = {{1, 1.2, "none", "b1", "", "closed"}};
+  CHECK(check_single_answer(observed, 2, all).find("none") != std::string::npos);
+  observed.receipts.push_back({1.4, "w1", "drained", "b1", ""});
+  CHECK(check_drains(observed, 0.3, all).find("drained") != std::string::npos);
+  observed.connection_ends = {{0, 6.5, ConnectionEnd::by_client, "stayed", "b1", "w1", ""}};
+  CHECK(check_moves(observed, 5, all).find("stayed") != std::string::npos);
+  observed.connection_ends = {{0, 2, ConnectionEnd::dropped, "cut", "b1", "w1", ""}};
+  CHECK(check_moves(observed, 5, all).find("cut") != std::string::npos);
+  observed.connection_ends = {{0, 2, ConnectionEnd::unexpected_line, "two", "b1", "w1", "BUSY"}};
+  CHECK(check_single_answer(observed, 2, but_b1).find("two") != std::string::npos);
+  observed.receipts.insert(observed.receipts.end(), 2, {8.2, "w1", "again", "b1", ""});
+  CHECK(check_cold_starts(observed, 2, 2).find("w1") != std::string::npos);
+  CHECK(check_attempts(observed, 1).find("again") != std::string::npos);
 }
 
 TEST_CASE("a scenario of one's own", "[.][own]") {
