--- a/tests/fleet/processes/balancers.h
+++ b/tests/fleet/processes/balancers.h
@@ -1,4 +1,5 @@
-// The processes of a fleet: their files, starts, signals, clocks and logs, and one timeline of it all.
+// Runs the balancers of a fleet as processes: their files, signals, clocks, disks and logs, and one timeline
+// of all events.
 #pragma once
 
 #include <sys/types.h>
@@ -14,15 +15,18 @@
 
 namespace marblehub::test {
 
-// What the whole fleet has in common: FLEET.json's keys laid over the usual ones, as JSON text.
+/// Describes a fleet of balancers before its first start.
 struct FleetSetup {
   int members = 5;
-  int voters = 0;  // the first of them; 0: none
-  std::uint64_t seed = 1;
-  std::string settings = "{}";
-  int workers = 0;  // with some the whole program is started, with its fronts; else fleet_node
+  int voters = 0;               // the first so many members vote; 0: no voters
+  std::uint64_t seed = 1;       // of the random generator of the links' faults
+  std::string settings = "{}";  // JSON merged over each member's fleet.json; FOLDER stands for its folder
+  int workers = 0;  // above 0 the whole balancer is started with a fake environment, else fleet_node
 };
 
+/// Owns the balancer processes, the links between them and the fake environment. The destructor kills the
+/// processes and removes their files. Members are named b1, b2, ...; times are seconds since the
+/// construction. Throws std::runtime_error where a step does not fit the process's state.
 class BalancerProcesses {
  public:
   BalancerProcesses(const FleetSetup& fleet, const std::string& program);
@@ -32,57 +36,65 @@
   const std::vector<std::string>& names() const { return names_; }
   Links& links() { return *links_; }
   FakeEnvironment* fake_environment() { return fake_environment_.get(); }  // null without workers
+  // See FakeEnvironment::set_call_rate.
   void set_call_rate(const std::string& name, double calls_per_second, const std::string& fields);
-  // A file of the operator's in the member's folder, to which settings may point as FOLDER/NAME.
+  // Replaces a file in the member's folder, to which settings may refer as FOLDER/NAME.
   void write_file(const std::string& name, const std::string& file, const std::string& text);
 
   void start(const std::string& name);
-  void send_signal(const std::string& name, int number);  // SIGSTOP and SIGCONT are remembered
-  void wipe_disk(const std::string& name);                // its disk is lost; while it is down
-  void copy_disk(const std::string& name);                // a copy of its disk, for `restore`
+  void send_signal(const std::string& name, int number);  // after SIGKILL it waits for the process's end
+  void wipe_disk(const std::string& name);                // removes its data; the process must be down
+  void copy_disk(const std::string& name);                // keeps a copy of its data for `restore_disk`
   void restore_disk(const std::string& name);
+  // Shifts the clock of the process by the file that MARBLEHUB_CLOCK_FILE names.
   void set_clock_offset(const std::string& name, std::int64_t offset_us);
-  void set_disk_full(const std::string& name, bool full);  // no file of it takes an octet more, while it runs
-  void set_settings(const std::string& extra_settings) {
-    fleet_.settings = extra_settings;
-  }                                                                           // of those started from now on
-  bool running(const std::string& name) const;                                // and not stopped
-  bool killed_during(const std::string& name, double from, double to) const;  // at a time between the two
-  // Whether it ran from then to then, neither stopped, ended nor told to end.
+  // Limits the file size of the running process, so that its writes fail; false removes the limit.
+  void set_disk_full(const std::string& name, bool full);
+  // Sets FleetSetup::settings for the processes that are started after this call.
+  void set_settings(const std::string& extra_settings) { fleet_.settings = extra_settings; }
+  bool running(const std::string& name) const;                                // neither ended nor stopped
+  bool killed_during(const std::string& name, double from, double to) const;  // by SIGKILL, within [from, to]
+  // Whether it ran throughout [from, to]: neither stopped, ended nor terminating.
   bool ran_throughout(const std::string& name, double from, double to) const;
-  int exit_code(const std::string& name);  // -1: it has not ended
+  int exit_code(const std::string& name);  // -1 while it runs; 128 + number after a signal
 
-  // Reads what they say, for so long.
+  // Reads the processes' output for that long.
   void collect_output(double seconds);
-  double now() const;  // seconds since the start of the harness
+  double now() const;  // seconds since the construction
 
-  // The counters as they are now; asked for by SIGUSR1. False: it did not answer within a second.
+  // Asks the members for their counters by SIGUSR1. Returns false if one does not answer within a second.
   bool refresh_counters(const std::vector<std::string>& members);
-  double counter(const std::string& name, const std::string& metric) const;  // as last printed; -1: none
+  double counter(const std::string& name, const std::string& metric) const;  // as last printed; -1 if absent
   const std::map<std::string, double>& last_counters(const std::string& name) const {
     return processes_.at(name).counters;
   }
   bool has_logged(const std::string& name, const std::string& text) const;  // since its last start
+  // Adds an event to the timeline.
   void log_event(const std::string& who, const std::string& what);
+  // All events, the processes' output, receipts, worker events and refusals, in the order of time.
   std::string timeline() const;
 
  private:
+  // State of one balancer, over all its starts.
   struct Process {
     std::string name, address, folder, partial_line;
     pid_t pid = 0;
     int output_fd = -1, exit_code = -1, starts = 0, counter_prints = 0;
     bool stopped = false;
-    std::vector<std::pair<double, double>> kill_windows;  // from the signal until it was seen gone
+    std::vector<std::pair<double, double>> kill_windows;  // from SIGKILL until the process had ended
     std::map<std::string, double> counters;
     std::vector<std::string> lines;
-    std::vector<std::pair<double, double>> downtimes;  // when it did not run; the last may not be over
+    std::vector<std::pair<double, double>> downtimes;  // the last one may still be open
   };
+  // Open and close a downtime, with a margin of a second on either side.
   void mark_down(Process& process);
   void mark_up(Process& process);
+  // The address at which the balancer accepts clients.
   std::string front(const std::string& name) const;
   void write_config_files(Process& process);
   void read(Process& process);
   void handle_line(Process& process, const std::string& line);
+  // Takes the exit status of a process that has ended.
   void collect_exit(Process& process);
   Process& at(const std::string& name) { return processes_.at(name); }
 
@@ -93,8 +105,9 @@
   std::map<std::string, Process> processes_;
   std::unique_ptr<Links> links_;
   std::unique_ptr<FakeEnvironment> fake_environment_;
-  std::map<std::string, std::map<std::string, std::string>> link_addresses_;
+  std::map<std::string, std::map<std::string, std::string>> link_addresses_;  // by sender and receiver
   std::int64_t started_ms_;
+  // A line of the timeline.
   struct Event {
     double at;
     std::string who, what;
--- a/tests/fleet/processes/fake_environment.h
+++ b/tests/fleet/processes/fake_environment.h
@@ -1,6 +1,4 @@
-// What stands around the balancers: workers that write receipts, the registry that lists them, and clients
-// that call at a steady rate, note what they are answered, and stand for a while. In a thread of their own,
-// so that times are those of the calls and not of the harness.
+// Fakes of the workers, the registry and the clients around the balancers, and what they observe.
 #pragma once
 
 #include <atomic>
@@ -14,34 +12,34 @@
 
 namespace marblehub::test {
 
+/// A call that arrived at a worker.
 struct Receipt {
-  double at = 0;                               // seconds since the harness began
-  std::string worker, call, balancer, fields;  // fields as they came: class, tenant, area
+  double at = 0;                               // seconds since the test's start, as all times here
+  std::string worker, call, balancer, fields;  // fields as received: class, tenant, area
 };
+/// The final answer to a client's call.
 struct Answer {
-  double asked = 0, at = 0;
-  std::string call, balancer, fields, text;  // text: UP ..., BUSY ..., or "closed" where it ended without one
+  double asked = 0, at = 0;                  // times of the call and of its answer
+  std::string call, balancer, fields, text;  // text: UP ..., BUSY ..., or closed, none, not there
 };
 
-// How a connection that stood came to its end.
+/// The end of a connection that was established.
 struct ConnectionEnd {
-  enum Cause {
-    by_client,
-    moved,
-    dropped,
-    silent,
-    unexpected_line
-  };  // own: the client's; stray: a line that no worker sent
+  // silent: nothing arrived for 7 s; unexpected_line: the client received a line that no worker sends
+  enum Cause { by_client, moved, dropped, silent, unexpected_line };
   double established_at = 0, at = 0;
   Cause cause = by_client;
-  std::string call, balancer, worker, line;  // line: the stray one
+  std::string call, balancer, worker, line;  // line: the unexpected one
 };
-// What the registry or a worker's own end has told the balancers of it.
+/// A change of a worker that the balancers can notice, by the registry or by their connections.
 struct WorkerEvent {
   double at = 0;
-  std::string worker, what;  // "draining", "killed", or "started": cold, with a time of its start
+  std::string worker, what;  // draining, killed or started
 };
 
+/// Workers named w1, w2, ... that record receipts, the registry that lists them, and clients that call at a
+/// steady rate and record their answers. All run in one thread of their own, so that the times recorded do
+/// not depend on the test's own progress.
 class FakeEnvironment {
  public:
   FakeEnvironment(int workers, std::int64_t started_ms);
@@ -49,22 +47,23 @@
   FakeEnvironment(const FakeEnvironment&) = delete;
 
   int registry_port() const;
-  std::string worker_list_json() const;  // the list to start with, as JSON
-  // From now on so many calls a second at the balancer whose front is at `address`; 0 ends it. `fields`
-  // stand in each OPEN line after its deadline.
+  std::string worker_list_json() const;  // the endpoint list of the registry
+  // Sets the rate of calls to the balancer whose front is at `address`, for each `fields` on its own; 0 stops
+  // them. `fields` follow the deadline in each OPEN line.
   void set_call_rate(const std::string& balancer, const std::string& address, double calls_per_second,
                      const std::string& fields);
-  void set_silent(const std::string& worker, bool on);    // it takes connections, and says and notes nothing
-  void stall(const std::string& worker, double seconds);  // it reads and says nothing for so long
-  void stall(double seconds);                             // nor do any workers, clients and the registry
-  // "drain" tells the registry; "kill" resets what stands at it and refuses what is new, without a word to
-  // the registry; "start" has it come back cold under its name.
+  void set_silent(const std::string& worker, bool on);    // it accepts connections only
+  void stall(const std::string& worker, double seconds);  // it neither reads nor writes meanwhile
+  void stall(double seconds);                             // nor do all workers, clients and the registry
+  // drain: the registry lists it as draining. kill: its connections are reset and new ones refused, the
+  // registry still lists it. start: it comes back under its name, with a new start time.
+  // Throws std::runtime_error for any other action and for an unknown worker.
   void change_worker(const std::string& name, const std::string& what);
-  // Clients that are set up from now on keep it for so long, or until they are told to move: those come
-  // again at once. At first they end it with the answer.
+  // Connections established from now on last that long, or until a MOVE; a moved client calls again at once.
+  // The initial value 0 ends a connection with its answer.
   void set_connection_duration(double seconds);
-  int moved_count() const;   // told so
-  void honor_retry_after();  // from now on whoever is told BUSY MS calls again then
+  int moved_count() const;   // clients that received MOVE
+  void honor_retry_after();  // clients answered BUSY MS call again after that time
   std::vector<Receipt> receipts() const;
   std::vector<Answer> answers() const;
   std::vector<ConnectionEnd> connection_ends() const;
@@ -73,6 +72,7 @@
  private:
   struct Worker;
   struct Client;
+  // Calls of one kind at one balancer; `next` is the time of the next call.
   struct CallSource {
     std::string address;
     double calls_per_second = 0, next = 0;
@@ -84,8 +84,8 @@
   void ask();
   void ask(const std::string& balancer, const std::string& fields, const std::string& address,
            const std::string& extra_fields = "");
-  bool step(Client& client);               // false: it has its answer, and does not stand
-  bool serve_established(Client& client);  // false: it has ended
+  bool step(Client& client);               // false if the call is over, without a connection that stays
+  bool serve_established(Client& client);  // false if the connection has ended
   double now() const;
 
   mutable std::mutex mutex_;
@@ -106,8 +106,8 @@
   std::thread thread_;
 };
 
-// Verdicts from receipts alone; empty: it holds. `pools`: by version, the workers it names. No call is placed
-// by a version later than `bound` seconds after one was placed by a later version.
+/// Checks that no call is placed by a version later than `bound` seconds after a call was placed by a greater
+/// version. `pools` holds the workers that each version names. Returns the violation, empty if there is none.
 std::string check_version_order(const std::vector<Receipt>& receipts,
                                 const std::map<std::uint64_t, std::vector<std::string>>& pools, double bound);
 
--- a/tests/fleet/processes/receipt_analysis.h
+++ b/tests/fleet/processes/receipt_analysis.h
@@ -1,4 +1,4 @@
-// Verdicts from receipts alone, by the pools of each version: who placed by which table, and when.
+// Finds from receipts which balancer placed calls by which version of the route table, and when.
 #pragma once
 
 #include <optional>
@@ -9,18 +9,18 @@
 
 namespace marblehub::test {
 
-using PoolsByVersion =
-    std::map<std::uint64_t, std::vector<std::string>>;  // by version: the workers that it names
+/// The workers that each version of the route table names.
+using PoolsByVersion = std::map<std::uint64_t, std::vector<std::string>>;
 
-// 0: a worker of no pool.
+/// The version whose pool holds the receipt's worker; 0 if no pool does.
 std::uint64_t version_of(const Receipt& receipt, const PoolsByVersion& pools);
 
-// Balancers with a receipt by `version` (0: by any worker) at `since` or later.
+/// Balancers with a receipt by `version` (0: by any worker) at `since` or later.
 std::set<std::string> placed_by(const std::vector<Receipt>& receipts, const PoolsByVersion& pools,
                                 std::uint64_t version, double since);
 
-// Of a switch to `version`: the first receipt by it of the first balancer and of the last one, and how many
-// have one.
+/// A switch to a version: each balancer's first receipt by it, the earliest and the latest of these, in
+/// seconds, and the number of balancers that have one.
 struct VersionSwitch {
   double first = 0, last = 0;
   std::size_t balancers = 0;
@@ -28,7 +28,7 @@
 VersionSwitch find_switch(const std::vector<Receipt>& receipts, const PoolsByVersion& pools,
                           std::uint64_t version);
 
-// The longest time in which one of those named placed nothing, begun at `since` or later and over since.
+/// The longest time in seconds between two successive receipts of a balancer, both at `since` or later.
 double longest_gap(const std::vector<Receipt>& receipts, const std::string& balancer, double since);
 
 }  // namespace marblehub::test
--- a/tests/fleet/processes/rules.h
+++ b/tests/fleet/processes/rules.h
@@ -1,5 +1,6 @@
-// The program's own rules, judged from what clients, workers and the registry saw and never from what a
-// balancer says of itself. Each verdict is empty where the rule holds, else names the call that broke it.
+// Checks of the balancer's own rules, from what clients, workers and the registry observed and never from
+// what a balancer reports of itself. Each check returns the violation with its call, or an empty text if
+// there is none.
 #pragma once
 
 #include <functional>
@@ -10,9 +11,10 @@
 
 namespace marblehub::test {
 
-// Whether that balancer may be blamed for what happened in [from, to]: it ran all the while.
+/// Whether that balancer is responsible for what happened in [from, to], since it ran throughout.
 using Accountable = std::function<bool(const std::string& balancer, double from, double to)>;
 
+/// All that the fake environment has recorded.
 struct Observations {
   std::vector<Receipt> receipts;
   std::vector<Answer> answers;
@@ -20,17 +22,19 @@
   std::vector<WorkerEvent> worker_events;
 };
 
-// One final answer a call, `within` seconds of its asking; after UP nothing that no worker sent.
+/// Each call gets one final answer within `max_seconds`; after UP only lines of its worker follow.
 std::string check_single_answer(const Observations& observed, double max_seconds,
                                 const Accountable& accountable);
-// Nothing new at a worker later than `grace` seconds after it was told to drain, until it is started again.
+/// A draining worker gets no call later than `grace` seconds after the registry's report, until its next
+/// start.
 std::string check_drains(const Observations& observed, double grace, const Accountable& accountable);
-// Whoever stands at a draining worker is moved within `within` seconds; no connection is cut off or silent
-// while its balancer runs and its worker lives.
+/// Connections leave a draining worker within `max_seconds`; none is dropped or silent while its balancer
+/// runs and its worker lives.
 std::string check_moves(const Observations& observed, double max_seconds, const Accountable& accountable);
-// A worker that has just started gets at most `most` calls in its first `seconds`, from all together.
+/// A worker that has just started gets at most `max_calls` calls in its first `seconds`, from all balancers
+/// together.
 std::string check_cold_starts(const Observations& observed, std::size_t max_calls, double seconds);
-// A call comes to at most so many workers.
+/// A call is sent to workers at most `max_attempts` times.
 std::string check_attempts(const Observations& observed, int max_attempts);
 
 }  // namespace marblehub::test
