--- a/tests/fleet/processes/balancers.cpp
+++ b/tests/fleet/processes/balancers.cpp
@@ -14,16 +14,18 @@
 using Names = std::vector<std::string>;
 
 constexpr int kFleetPort = 7946, kFrontPort = 7000;
-const char* const kLastMetric = "marblehub_fleet_clock_off";  // of the print
+const char* const kLastMetric = "marblehub_fleet_clock_off";  // ends a print of the counters
 
 }  // namespace
 
 BalancerProcesses::BalancerProcesses(const FleetSetup& fleet, const std::string& program)
     : fleet_(fleet), program_(program), links_(std::make_unique<Links>(fleet.seed)), started_ms_(now_ms()) {
-  ::signal(SIGUSR1, SIG_IGN);  // inherited, so that one that does not watch for it yet lives on
-  ::signal(SIGXFSZ, SIG_IGN);  // inherited: at a full disk a write fails, as it does in service
+  // Both are inherited: a process without its handler yet survives SIGUSR1, and a write beyond the file size
+  // limit fails instead of killing the process.
+  ::signal(SIGUSR1, SIG_IGN);
+  ::signal(SIGXFSZ, SIG_IGN);
   char folder[] = "/tmp/marblehub-fleet-XXXXXX";
-  if (!mkdtemp(folder)) throw std::runtime_error("no temporary folder");
+  if (!mkdtemp(folder)) throw std::runtime_error("cannot create a temporary folder");
   folder_ = folder;
   std::ofstream(folder_ + "/key") << std::string(64, '5') << '\n';
   std::filesystem::permissions(folder_ + "/key", std::filesystem::perms::owner_read);
@@ -88,20 +90,20 @@
        {{"index", 1}, {"snapshot", true}, {"endpoints", json::parse(fake_environment_->worker_list_json())}}},
       {"settings", policy_settings},
       {"fleet", process.folder + "/fleet.json"},
-      {"rebalance", process.folder + "/rebalance.json"}};  // off unless a scenario writes it
+      {"rebalance", process.folder + "/rebalance.json"}};  // disabled unless a scenario writes it
   for (const char* unused_file : {"quic", "remote_write"}) balancer_config[unused_file] = "/nonexistent";
-  const char* log = std::getenv("MARBLEHUB_LOG");  // a log file of one's own, to trace a call
+  const char* log = std::getenv("MARBLEHUB_LOG");  // optional log file for tracing a call
   balancer_config["log"] = log ? log : "/nonexistent";
   std::ofstream(process.folder + "/config.json") << balancer_config.dump(1);
 }
 
 void BalancerProcesses::start(const std::string& name) {
   Process& process = at(name);
-  if (process.pid > 0) throw std::runtime_error(name + " runs already");
+  if (process.pid > 0) throw std::runtime_error(name + " is already running");
   write_config_files(process);
   int pipe_fds[2];
-  if (::pipe2(pipe_fds, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
-  // The links' thread runs: between fork and exec nothing may be allocated.
+  if (::pipe2(pipe_fds, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
+  // The links' thread is running, so nothing may be allocated between fork and exec.
   const std::string file = process.folder + (fake_environment_ ? "/config.json" : "/fleet.json"),
                     clock = "MARBLEHUB_CLOCK_FILE=" + process.folder + "/clock";
   std::string program = program_;
@@ -141,7 +143,7 @@
 
 void BalancerProcesses::write_file(const std::string& name, const std::string& file,
                                    const std::string& text) {
-  log_event(name, "-- its " + file + " is written");
+  log_event(name, "-- " + file + " written");
   const std::string path = at(name).folder + "/" + file;
   std::ofstream(path + ".next") << text;
   std::filesystem::rename(path + ".next", path);
@@ -149,7 +151,7 @@
 
 void BalancerProcesses::send_signal(const std::string& name, int number) {
   Process& process = at(name);
-  if (process.pid <= 0) throw std::runtime_error(name + " does not run");
+  if (process.pid <= 0) throw std::runtime_error(name + " is not running");
   if (number != SIGUSR1) log_event(name, std::string("-- ") + strsignal(number));
   const double before = now();
   ::kill(process.pid, number);
@@ -157,7 +159,7 @@
   if (number == SIGCONT) process.stopped = false;
   if (number == SIGCONT) mark_up(process);
   if (number == SIGSTOP || number == SIGKILL || number == SIGTERM) mark_down(process);
-  if (number == SIGKILL) {  // the harness must see it gone at once, to start it anew
+  if (number == SIGKILL) {  // reaped at once, so that it can be started again
     int status = 0;
     waitpid(process.pid, &status, 0);
     read(process);
@@ -168,38 +170,39 @@
 }
 
 void BalancerProcesses::wipe_disk(const std::string& name) {
-  log_event(name, "-- its disk is lost");
+  log_event(name, "-- disk wiped");
   std::filesystem::remove_all(at(name).folder + "/data");
   std::filesystem::create_directories(at(name).folder + "/data");
 }
 
 void BalancerProcesses::copy_disk(const std::string& name) {
-  log_event(name, "-- its disk is copied");
+  log_event(name, "-- disk copied");
   std::filesystem::remove_all(at(name).folder + "/old");
   std::filesystem::copy(at(name).folder + "/data", at(name).folder + "/old",
                         std::filesystem::copy_options::recursive);
 }
 
 void BalancerProcesses::restore_disk(const std::string& name) {
-  log_event(name, "-- an old copy of its disk is put back");
+  log_event(name, "-- disk restored from its copy");
   std::filesystem::remove_all(at(name).folder + "/data");
   std::filesystem::copy(at(name).folder + "/old", at(name).folder + "/data",
                         std::filesystem::copy_options::recursive);
 }
 
 void BalancerProcesses::set_clock_offset(const std::string& name, std::int64_t offset_us) {
-  log_event(name, "-- its clock is off by " + std::to_string(offset_us) + " us");
+  log_event(name, "-- clock offset " + std::to_string(offset_us) + " us");
   std::ofstream(at(name).folder + "/clock.next") << offset_us << '\n';
   std::filesystem::rename(at(name).folder + "/clock.next", at(name).folder + "/clock");
 }
 
 void BalancerProcesses::set_disk_full(const std::string& name, bool full) {
-  log_event(name, full ? "-- its disk is full" : "-- its disk is writable");
-  rlimit limit{full ? 4096 : RLIM_INFINITY, RLIM_INFINITY};  // a page: as LMDB opens its file
-  if (prlimit(at(name).pid, RLIMIT_FSIZE, &limit, nullptr) != 0) throw std::runtime_error("no limit set");
+  log_event(name, full ? "-- disk full" : "-- disk writable");
+  rlimit limit{full ? 4096 : RLIM_INFINITY, RLIM_INFINITY};  // one page, which LMDB needs to open its file
+  if (prlimit(at(name).pid, RLIMIT_FSIZE, &limit, nullptr) != 0)
+    throw std::runtime_error("cannot set the file size limit");
 }
 
-// A second on either side: what was under way at a death, and what piled up behind a pause.
+// A second on either side covers calls in progress at the end and calls queued during a pause.
 void BalancerProcesses::mark_down(Process& process) { process.downtimes.emplace_back(now() - 1, 1e9); }
 void BalancerProcesses::mark_up(Process& process) {
   if (!process.downtimes.empty()) process.downtimes.back().second = now() + 1;
@@ -233,7 +236,7 @@
   read(process);
   process.pid = 0;
   process.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-  log_event(process.name, "-- has ended with " + std::to_string(process.exit_code));
+  log_event(process.name, "-- exited with " + std::to_string(process.exit_code));
 }
 
 double BalancerProcesses::now() const { return static_cast<double>(now_ms() - started_ms_) / 1000; }
@@ -285,7 +288,7 @@
     if (pending.empty()) return true;
     if (now() < again) continue;
     for (const std::string& name : pending)
-      send_signal(name, SIGUSR1);  // one that just starts does not hear it
+      send_signal(name, SIGUSR1);  // repeated: a starting process ignores it
     again = now() + 0.1;
   }
   return false;
@@ -311,12 +314,12 @@
   std::vector<Event> events = events_;
   if (fake_environment_) {
     for (const Receipt& r : fake_environment_->receipts())
-      events.push_back({r.at, r.worker, "takes " + r.call + " " + r.fields});
+      events.push_back({r.at, r.worker, "received " + r.call + " " + r.fields});
     for (const WorkerEvent& t : fake_environment_->worker_events())
       events.push_back({t.at, t.worker, "-- " + t.what});
     for (const Answer& a : fake_environment_->answers())
       if (!a.text.starts_with("UP"))
-        events.push_back({a.at, a.balancer, "answers " + a.call + ": " + a.text});
+        events.push_back({a.at, a.balancer, "answered " + a.call + ": " + a.text});
   }
   std::stable_sort(events.begin(), events.end(), [](auto& a, auto& b) { return a.at < b.at; });
   std::string text = "timeline, seconds since the start:\n";
--- a/tests/fleet/processes/fake_environment.cpp
+++ b/tests/fleet/processes/fake_environment.cpp
@@ -12,9 +12,9 @@
 namespace marblehub::test {
 namespace {
 
-constexpr double kAnswerTimeoutS = 4;      // seconds a client waits for its answer
-constexpr double kMessageIntervalS = 0.5;  // seconds between two of its lines
-constexpr double kSilenceTimeoutS = 7;     // that a connection may bring nothing back
+constexpr double kAnswerTimeoutS = 4;      // a client's wait for its answer
+constexpr double kMessageIntervalS = 0.5;  // between two lines of an established client
+constexpr double kSilenceTimeoutS = 7;     // longest time without a line for an established client
 
 void send_line(int fd, const std::string& text) {
   std::string line = text + "\r\n";
@@ -23,13 +23,16 @@
 
 }  // namespace
 
+/// Hides the registry's type from the header.
 struct FakeEnvironment::Registry {
   peers::StubRegistry server;
 };
 
+/// A fake worker with its listener and connections; its destructor resets the connections.
 struct FakeEnvironment::Worker {
   std::string name;
   int fd = bound_socket(SOCK_STREAM | SOCK_NONBLOCK);
+  // A connection and the bytes received that do not yet form a line.
   struct Conn {
     int fd = -1;
     std::string in;
@@ -40,7 +43,7 @@
   explicit Worker(std::string n) : name(std::move(n)) { ::listen(fd, 256); }
   ~Worker() { end(); }
   void end() {
-    const linger at_once{1, 0};  // as the system does it for a process that has died with octets unread
+    const linger at_once{1, 0};  // a reset, as for a process that died with unread bytes
     for (Conn& c : conns) {
       setsockopt(c.fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
       ::close(c.fd);
@@ -50,12 +53,13 @@
   }
 };
 
+/// A client's call and, once it is answered UP, its established connection.
 struct FakeEnvironment::Client {
   int fd = -1;
   Answer answer;
   std::string line, in;
   bool sent = false, established = false;
-  ConnectionEnd ending;  // once it stands
+  ConnectionEnd ending;  // filled in once established
   double last_sent = 0, last_received = 0, end_time = 0;
   ~Client() {
     if (fd >= 0) ::close(fd);
@@ -143,7 +147,7 @@
 void FakeEnvironment::change_worker(const std::string& name, const std::string& what) {
   std::lock_guard lock(mutex_);
   auto it = std::find_if(workers_.begin(), workers_.end(), [&](auto& w) { return w->name == name; });
-  if (it == workers_.end()) throw std::runtime_error("no such worker: " + name);
+  if (it == workers_.end()) throw std::runtime_error("unknown worker: " + name);
   Worker& worker = **it;
   if (what == "drain") {
     registry_->server.set(name, loopback_address_text(port_of(worker.fd)), "draining");
@@ -217,7 +221,7 @@
       if (line.starts_with("STATS")) send_line(conn.fd, "PONG latency_ms=2,util=0.1");
       if (line.starts_with("say ")) send_line(conn.fd, line);
       if (!line.starts_with("OPEN ")) continue;
-      // OPEN CALL KEY FIELDS; the call's name ends with the balancer that it was asked at
+      // OPEN CALL KEY FIELDS; CALL ends with the name of the balancer that the client called
       std::string call = line.substr(5, line.find(' ', 5) - 5);
       receipts_.push_back(
           {now(), worker.name, call, call.substr(call.find('-') + 1), line.substr(line.rfind(' ') + 1)});
@@ -265,7 +269,7 @@
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(client.fd, SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return over("not there");  // nobody has taken the call
+    if (error != 0) return over("not there");  // the connection was refused
     send_line(client.fd, client.line);
     client.sent = true;
     return true;
@@ -318,7 +322,7 @@
 std::string check_version_order(const std::vector<Receipt>& receipts,
                                 const std::map<std::uint64_t, std::vector<std::string>>& pools,
                                 double bound) {
-  std::map<std::uint64_t, double> first;  // receipt by that version
+  std::map<std::uint64_t, double> first;  // time of the first receipt by each version
   auto version = [&](const Receipt& r) -> std::uint64_t {
     for (const auto& [number, workers] : pools)
       if (std::find(workers.begin(), workers.end(), r.worker) != workers.end()) return number;
--- a/tests/fleet/processes/links.cpp
+++ b/tests/fleet/processes/links.cpp
@@ -16,7 +16,7 @@
 namespace marblehub::test {
 namespace {
 
-constexpr std::size_t kMaxQueuedBytes = 1 << 20;  // octets of a stream in the link
+constexpr std::size_t kMaxQueuedBytes = 1 << 20;  // bytes of a stream queued in a link
 constexpr std::int64_t kRetransmitDelayUs = 200'000, kReorderDelayUs = 50'000;
 
 std::int64_t now_us() {
@@ -26,6 +26,7 @@
 
 }  // namespace
 
+/// One directed link: its datagram socket, its listener and the address of its target.
 struct Links::Link {
   sockaddr_in to{};
   int udp = -1, listener = -1;
@@ -37,9 +38,11 @@
   }
 };
 
+/// A stream over a link: both its connections and the data read but not yet sent.
 struct Links::Stream {
   Link* link = nullptr;
   int source_fd = -1, target_fd = -1;
+  // Data to be sent at `due`, in microseconds.
   struct Chunk {
     std::int64_t due;
     std::string bytes;
@@ -71,7 +74,7 @@
 std::string Links::add(const std::string& from, const std::string& to, const std::string& address) {
   auto link = std::make_unique<Link>();
   link->to = *config::parse_address(address);
-  for (int tries = 0; link->listener < 0; ++tries) {  // one port for both
+  for (int tries = 0; link->listener < 0; ++tries) {  // the same port for datagrams and streams
     link->udp = bound_socket(SOCK_DGRAM | SOCK_NONBLOCK);
     int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     sockaddr_in at = loopback(port_of(link->udp));
@@ -80,7 +83,7 @@
     } else {
       ::close(fd);
       ::close(std::exchange(link->udp, -1));
-      if (tries == 100) throw std::runtime_error("no port for a link");
+      if (tries == 100) throw std::runtime_error("no free port for a link");
     }
   }
   link->on_udp = {EpollTarget::udp, link.get(), nullptr};
@@ -130,10 +133,10 @@
       if (what.kind == EpollTarget::listener) accept(*what.link);
       if (what.kind == EpollTarget::source_end) read_stream(*what.stream, now);
       if (what.kind == EpollTarget::target_end)
-        what.stream->closed = true;  // nothing is said that way: it has ended
+        what.stream->closed = true;  // no data comes from the target: the stream has ended
     }
     forward_due(now);
-    ::usleep(200);  // what a cut leaves ready must not keep the processor busy
+    ::usleep(200);  // descriptors stay readable over a cut link: no busy loop
   }
 }
 
@@ -157,13 +160,13 @@
 }
 
 void Links::accept(Link& link) {
-  if (link.faults.cut) return;  // it waits where it is, as a SYN that is lost is sent again
+  if (link.faults.cut) return;  // stays in the backlog, as a lost SYN would be retransmitted
   for (int fd; (fd = ::accept4(link.listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;) {
     auto stream = std::make_unique<Stream>();
     stream->link = &link;
     stream->source_fd = fd;
     stream->target_fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    // Loopback: it is there at once or refused at once.
+    // On loopback a connection is established or refused immediately.
     if (::connect(stream->target_fd, reinterpret_cast<sockaddr*>(&link.to), sizeof link.to) != 0) continue;
     ::fcntl(stream->target_fd, F_SETFL, O_NONBLOCK);
     stream->on_source = {EpollTarget::source_end, &link, stream.get()};
@@ -189,7 +192,8 @@
     double delay = (f.delay_from + (f.delay_to - f.delay_from) * random_fraction()) * 1000;
     if (random_fraction() < f.loss) delay += kRetransmitDelayUs;
     std::int64_t due = now + static_cast<std::int64_t>(delay);
-    if (!stream.queued.empty()) due = std::max(due, stream.queued.back().due);  // in order
+    if (!stream.queued.empty())
+      due = std::max(due, stream.queued.back().due);  // keeps the order of the stream
     stream.queued.push_back({due, std::string(buffer, static_cast<std::size_t>(n))});
     stream.bytes += static_cast<std::size_t>(n);
   }
