--- a/tests/fleet/processes/rules.cpp
+++ b/tests/fleet/processes/rules.cpp
@@ -8,7 +8,7 @@
 
 std::string seconds(double s) { return std::to_string(s) + " s"; }
 
-// When it was last told of that worker before `at`; none: null.
+// The last event of that worker at `at` or earlier; null if there is none.
 const WorkerEvent* last_worker_event(const std::vector<WorkerEvent>& worker_events, const std::string& worker,
                                      double at) {
   const WorkerEvent* last = nullptr;
@@ -35,17 +35,18 @@
       return "call " + a.call + " was answered after " + seconds(a.at - a.asked);
   }
   for (const ConnectionEnd& e : observed.connection_ends)
-    if (e.cause == ConnectionEnd::unexpected_line) return "call " + e.call + " stood and was sent: " + e.line;
+    if (e.cause == ConnectionEnd::unexpected_line)
+      return "call " + e.call + " was established and received: " + e.line;
   return "";
 }
 
 std::string check_drains(const Observations& observed, double grace, const Accountable& accountable) {
   for (const Receipt& r : observed.receipts) {
-    const WorkerEvent* worker_events = last_worker_event(observed.worker_events, r.worker, r.at);
-    if (worker_events && worker_events->what == "draining" && r.at > worker_events->at + grace &&
-        accountable(r.balancer, worker_events->at, r.at))
-      return "call " + r.call + " came to " + r.worker + " " + seconds(r.at - worker_events->at) +
-             " after it was told to drain";
+    const WorkerEvent* last_event = last_worker_event(observed.worker_events, r.worker, r.at);
+    if (last_event && last_event->what == "draining" && r.at > last_event->at + grace &&
+        accountable(r.balancer, last_event->at, r.at))
+      return "call " + r.call + " was sent to " + r.worker + " " + seconds(r.at - last_event->at) +
+             " after its drain began";
   }
   return "";
 }
@@ -56,13 +57,13 @@
     if ((e.cause == ConnectionEnd::dropped || e.cause == ConnectionEnd::silent) &&
         !killed_between(observed.worker_events, e.worker, e.established_at, e.at))
       return "call " + e.call + " at " + e.worker +
-             (e.cause == ConnectionEnd::dropped ? " was cut off" : " fell silent") + " after it stood for " +
-             seconds(e.at - e.established_at);
+             (e.cause == ConnectionEnd::dropped ? " was dropped" : " was silent") +
+             " after being established for " + seconds(e.at - e.established_at);
     for (const WorkerEvent& t : observed.worker_events)
       if (t.worker == e.worker && t.what == "draining" && e.established_at <= t.at &&
           e.at > t.at + max_seconds)
-        return "call " + e.call + " still stood at " + e.worker + " " + seconds(e.at - t.at) +
-               " after it was told to drain";
+        return "call " + e.call + " was still established at " + e.worker + " " + seconds(e.at - t.at) +
+               " after its drain began";
   }
   return "";
 }
@@ -74,7 +75,7 @@
           return t.what == "started" && r.worker == t.worker && r.at >= t.at && r.at <= t.at + for_seconds;
         }));
     if (came > max_calls)
-      return t.worker + " had " + std::to_string(came) + " calls in its first " + seconds(for_seconds);
+      return t.worker + " received " + std::to_string(came) + " calls in its first " + seconds(for_seconds);
   }
   return "";
 }
@@ -83,7 +84,7 @@
   std::map<std::string, int> attempts;
   for (const Receipt& r : observed.receipts)
     if (++attempts[r.call] > max_attempts)
-      return "call " + r.call + " came to more than " + std::to_string(max_attempts);
+      return "call " + r.call + " was received by workers more often than " + std::to_string(max_attempts);
   return "";
 }
 
--- a/tests/fleet/processes/scenario_expectations.cpp
+++ b/tests/fleet/processes/scenario_expectations.cpp
@@ -1,4 +1,4 @@
-// What a scenario expects of the fleet.
+// Steps of a scenario that check the fleet.
 #include <signal.h>
 
 #include <algorithm>
@@ -36,8 +36,7 @@
                                 double poll_interval) {
   double began = fleet_->now();
   while (!holds()) {
-    if (fleet_->now() - began > seconds)
-      throw ExpectationFailed(what + " did not come to hold:" + last_state_);
+    if (fleet_->now() - began > seconds) throw ExpectationFailed(what + " did not hold:" + last_state_);
     fleet_->collect_output(poll_interval);
   }
   double elapsed = fleet_->now() - began;
@@ -57,9 +56,9 @@
   if (first == "spread") return expect_spread(expectation);
   if (first == "nobody") {
     if (!fleet_->refresh_counters(running_members(fleet_->names())))
-      throw ExpectationFailed("a counter was asked for and not told");
+      throw ExpectationFailed("a member did not report its counters");
     for (const auto& [name, times] : given_up())
-      if (times > given_up_at_mark_[name]) throw ExpectationFailed(name + " has given up a member");
+      if (times > given_up_at_mark_[name]) throw ExpectationFailed(name + " has declared a member dead");
     return;
   }
   if (first == "first" || first == "none" || first == "one" || first == "switch" || first == "gap")
@@ -75,7 +74,8 @@
     auto moved = [&] { return fleet_->fake_environment()->moved_count(); };
     if (bound == "least") return wait_until(seconds, expectation, [&] { return moved() >= count; });
     fleet_->collect_output(seconds);
-    if (moved() > count) throw ExpectationFailed(expectation + ": " + std::to_string(moved()) + " were");
+    if (moved() > count)
+      throw ExpectationFailed(expectation + ": " + std::to_string(moved()) + " were moved");
     return;
   }
   Names names = parse_names(first);
@@ -93,7 +93,7 @@
     double alive = read_number(words);
     expect_word(words, "for");
     for (double end = fleet_->now() + read_number(words); fleet_->now() < end; fleet_->collect_output(0.1))
-      if (!all_see(names, alive)) throw ExpectationFailed(expectation + ": it broke:" + last_state_);
+      if (!all_see(names, alive)) throw ExpectationFailed(expectation + ": no longer true:" + last_state_);
     return;
   }
   std::size_t within = expectation.rfind(" within ");
@@ -148,7 +148,7 @@
     fleet_->collect_output(seconds);
     for (const std::string& name : placed(0, began))
       if (std::find(names.begin(), names.end(), name) != names.end())
-        throw ExpectationFailed(name + " places");
+        throw ExpectationFailed(name + " has placed a call");
     return;
   }
   const auto version = static_cast<std::uint64_t>(read_number(words));
@@ -167,7 +167,7 @@
     std::istringstream versions(list);
     int used = 0;
     for (std::string v; std::getline(versions, v, ',');) used += !placed(std::stoull(v), 0).empty();
-    if (used != 1) throw ExpectationFailed(expectation + ": " + std::to_string(used) + " were");
+    if (used != 1) throw ExpectationFailed(expectation + ": " + std::to_string(used) + " of them were used");
     return;
   }
   if (what == "gap") {
@@ -175,14 +175,14 @@
       const double gap = longest_gap(fleet_->fake_environment()->receipts(), name, marked_at_);
       result.durations.emplace_back("gap of " + name, gap);
       if (gap > std::stod(expectation.substr(expectation.rfind(' '))))
-        throw ExpectationFailed(name + " placed nothing for " + std::to_string(gap) + " s");
+        throw ExpectationFailed(name + " placed no call for " + std::to_string(gap) + " s");
     }
     return;
   }
   const auto version = static_cast<std::uint64_t>(read_number(words));
   if (what == "none") {
     for (const std::string& name : placed(version, 0))
-      throw ExpectationFailed(name + " has placed by " + std::to_string(version));
+      throw ExpectationFailed(name + " has placed a call by version " + std::to_string(version));
   } else if (what == "first") {
     wait_until(
         std::stod(expectation.substr(expectation.rfind(' '))), expectation,
@@ -194,10 +194,11 @@
     const double spread = read_number(words);
     auto now = [&] { return find_switch(fleet_->fake_environment()->receipts(), pools_, version); };
     const std::size_t members = fleet_->names().size();
-    wait_until(max_seconds + 5, "all by the new version", [&] { return now().balancers == members; });
+    wait_until(max_seconds + 5, "all balancers use the new version",
+               [&] { return now().balancers == members; });
     const VersionSwitch s = now();
-    result.durations.emplace_back("from hup to the last first call", s.last - hup_sent_at_);
-    result.durations.emplace_back("spread of the first calls", s.last - s.first);
+    result.durations.emplace_back("from SIGHUP to the last balancer's first call", s.last - hup_sent_at_);
+    result.durations.emplace_back("spread of the balancers' first calls", s.last - s.first);
     if (s.last - hup_sent_at_ > max_seconds || s.last - s.first > spread)
       throw ExpectationFailed(expectation + ": took " + std::to_string(s.last - hup_sent_at_) +
                               " s, spread " + std::to_string(s.last - s.first));
@@ -235,10 +236,10 @@
                             " served: " + expectation);
   result.durations.emplace_back(expectation, durations[std::max<std::size_t>(1, wanted) - 1]);
   if (double slowest = durations[std::max<std::size_t>(1, wanted) - 1]; slowest > read_number(words))
-    throw ExpectationFailed("they took " + std::to_string(slowest) + " s: " + expectation);
+    throw ExpectationFailed("the slowest took " + std::to_string(slowest) + " s: " + expectation);
 }
 
-// spread over SECONDS: no tenth of it has more than N% of the calls served in it
+// spread over SECONDS at most N%: no tenth of that time has more than N% of its calls
 void ScenarioPlayer::expect_spread(const std::string& expectation) {
   std::istringstream words(expectation);
   std::string skip, fields;
@@ -254,18 +255,20 @@
     if (double part = (r.at - marked_at_) / seconds * 10; part >= 0 && part < 10)
       ++tenths[static_cast<std::size_t>(part)], ++total;
   double share = *std::max_element(tenths.begin(), tenths.end()) * 100 / std::max(total, 1.0);
-  result.durations.emplace_back("most calls in a tenth, percent of " + std::to_string(total), share);
+  result.durations.emplace_back("largest share of calls in a tenth, percent of " + std::to_string(total),
+                                share);
   if (total < 10 || share > max_share)
     throw ExpectationFailed(std::to_string(share) + "% of " + std::to_string(total) +
                             " in a tenth: " + expectation);
 }
 
-// The bounds are the protocol's: 250 ms of grace and 50 ms of slack, 2.9 s that a client waits, 4 attempts;
-// off a draining worker within 4 s and a sweep, with a second for a busy machine.
+// The bounds are those of the protocol: 250 ms of grace and 50 ms of slack after a drain, 2.9 s for an answer
+// and 4 attempts. A draining worker's connections leave within 4 s and a sweep, plus 1 s for a loaded
+// machine.
 void ScenarioPlayer::expect_rules() {
-  FakeEnvironment& around = *fleet_->fake_environment();
-  Observations observed{around.receipts(), around.answers(), around.connection_ends(),
-                        around.worker_events()};
+  FakeEnvironment& environment = *fleet_->fake_environment();
+  Observations observed{environment.receipts(), environment.answers(), environment.connection_ends(),
+                        environment.worker_events()};
   Accountable accountable = [&](const std::string& b, double from, double to) {
     return fleet_->ran_throughout(b, from, to);
   };
@@ -276,7 +279,7 @@
     if (!wrong.empty()) throw ExpectationFailed(wrong);
 }
 
-// Verdicts from what workers took and clients were told.
+// receipts by version in order | served at most|least N | answered
 void ScenarioPlayer::expect_receipts(const std::string& expectation) {
   std::istringstream words(expectation);
   std::string first, at, bound;
--- a/tests/fleet/processes/scenario_steps.cpp
+++ b/tests/fleet/processes/scenario_steps.cpp
@@ -1,4 +1,4 @@
-// What a scenario does to the fleet.
+// Steps of a scenario that act on the fleet.
 #include <signal.h>
 
 #include <algorithm>
@@ -105,7 +105,7 @@
   }
   if (auto it = signals.find(verb); it != signals.end())
     return each(names, [&](const auto& n) { fleet_->send_signal(n, it->second); });
-  throw std::runtime_error("no such step: " + verb);
+  throw std::runtime_error("unknown step: " + verb);
 }
 
 void ScenarioPlayer::each(const Names& names, const std::function<void(const std::string&)>& act) {
@@ -150,7 +150,7 @@
   const Names& known = fleet_->names();
   for (const std::string& name : names)
     if (std::find(known.begin(), known.end(), name) == known.end())
-      throw std::runtime_error("no such member: " + name);
+      throw std::runtime_error("unknown member: " + name);
   return names;
 }
 
@@ -172,7 +172,7 @@
   fleet_->fake_environment()->stall(target, seconds);
 }
 
-// One of that kind, drawn: nothing of it runs for so long.
+// The stalled worker or balancer is drawn at random.
 void ScenarioPlayer::stall_one(const std::string& kind, double seconds) {
   const std::uint64_t any = rng_();
   if (kind == "player") {
@@ -207,7 +207,7 @@
 void ScenarioPlayer::mark() {
   marked_at_ = fleet_->now();
   if (!fleet_->refresh_counters(running_members(fleet_->names())))
-    throw ExpectationFailed("a counter was asked for and not told");
+    throw ExpectationFailed("a member did not report its counters");
   for (const std::string& name : running_members(fleet_->names()))
     counters_at_mark_[name] = fleet_->last_counters(name);
   given_up_at_mark_ = given_up();
@@ -215,7 +215,7 @@
 
 void ScenarioPlayer::find_leader(std::istream& in) {
   expect_word(in, "within");
-  wait_until(read_number(in), "one leads", [&] {
+  wait_until(read_number(in), "one member leads", [&] {
     Names leads;
     if (!fleet_->refresh_counters(running_members(fleet_->names()))) return false;
     for (const std::string& name : running_members(fleet_->names()))
@@ -240,7 +240,7 @@
   each_link(fleet_->names(), fleet_->names(), [](Faults& f) { f = {}; });
 }
 
-// Groups as in "b1,b2 | b3 | b4", or "b1 > b2".
+// Groups as in "b1,b2 | b3 | b4" or "b1 > b2".
 void ScenarioPlayer::cut(std::istream& in, bool now) {
   std::vector<Names> groups = {read_names(in)};
   std::string between;
@@ -264,7 +264,7 @@
   for (int i = 0; i < 2 * static_cast<int>(times); ++i) {
     std::istringstream cut_groups(groups);
     cut(cut_groups, i % 2 == 0);
-    fleet_->log_event("scenario", i % 2 == 0 ? "cut" : "whole");
+    fleet_->log_event("scenario", i % 2 == 0 ? "cut" : "healed");
     run_until(fleet_->now() + each);
   }
 }
