--- a/tests/fleet/processes/fake_environment.cpp
+++ b/tests/fleet/processes/fake_environment.cpp
@@ -190,20 +190,20 @@
 void FakeEnvironment::step() {
   registry_->server.step();
   for (auto& worker : workers_)
-    if (now() >= worker->stalled_until) step(*worker);
-  ask();
+    if (now() >= worker->stalled_until) serve_worker(*worker);
+  place_due_calls();
   auto ended = std::stable_partition(clients_.begin(), clients_.end(), [&](auto& c) {
-    return c->established ? serve_established(*c) : step(*c);
+    return c->established ? serve_established(*c) : await_answer(*c);
   });
-  std::vector<std::unique_ptr<Client>> over(std::make_move_iterator(ended),
-                                            std::make_move_iterator(clients_.end()));
+  std::vector<std::unique_ptr<Client>> finished(std::make_move_iterator(ended),
+                                                std::make_move_iterator(clients_.end()));
   clients_.erase(ended, clients_.end());
-  for (auto& client : over)
+  for (auto& client : finished)
     if (const Answer& a = client->answer; client->established && client->ending.cause == ConnectionEnd::moved)
-      ask(a.balancer, a.fields, call_sources_.at({a.balancer, a.fields}).address, ",again=1");
+      place_call(a.balancer, a.fields, call_sources_.at({a.balancer, a.fields}).address, ",again=1");
 }
 
-void FakeEnvironment::step(Worker& worker) {
+void FakeEnvironment::serve_worker(Worker& worker) {
   for (int c;
        worker.fd >= 0 && (c = ::accept4(worker.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
     worker.conns.push_back({c, ""});
@@ -231,18 +231,18 @@
   std::erase_if(worker.conns, [](const Worker::Conn& conn) { return conn.fd < 0; });
 }
 
-void FakeEnvironment::ask() {
+void FakeEnvironment::place_due_calls() {
   for (auto& [key, source] : call_sources_)
     for (; source.calls_per_second > 0 && source.next <= now(); source.next += 1 / source.calls_per_second)
-      ask(key.first, key.second, source.address);
+      place_call(key.first, key.second, source.address);
   for (; !retries_.empty() && retries_.begin()->first <= now(); retries_.erase(retries_.begin())) {
     const auto& key = retries_.begin()->second;
-    ask(key.first, key.second, call_sources_.at(key).address);
+    place_call(key.first, key.second, call_sources_.at(key).address);
   }
 }
 
-void FakeEnvironment::ask(const std::string& balancer, const std::string& fields, const std::string& address,
-                          const std::string& extra_fields) {
+void FakeEnvironment::place_call(const std::string& balancer, const std::string& fields,
+                                 const std::string& address, const std::string& extra_fields) {
   auto client = std::make_unique<Client>();
   client->answer = {now(), 0, std::to_string(++call_count_) + "-" + balancer, balancer, fields, ""};
   client->line = "OPEN " + client->answer.call + " " + std::to_string(call_count_) + " c=telemetry,d=2900" +
@@ -253,8 +253,8 @@
   clients_.push_back(std::move(client));
 }
 
-bool FakeEnvironment::step(Client& client) {
-  auto over = [&](const std::string& text) {
+bool FakeEnvironment::await_answer(Client& client) {
+  auto finish = [&](const std::string& text) {
     client.answer.at = now();
     client.answer.text = text;
     answers_.push_back(client.answer);
@@ -264,23 +264,23 @@
     return false;
   };
   pollfd ready{client.fd, static_cast<short>(client.sent ? POLLIN : POLLOUT), 0};
-  if (::poll(&ready, 1, 0) <= 0) return now() - client.answer.asked < kAnswerTimeoutS || over("none");
+  if (::poll(&ready, 1, 0) <= 0) return now() - client.answer.asked < kAnswerTimeoutS || finish("none");
   if (!client.sent) {
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(client.fd, SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return over("not there");  // the connection was refused
+    if (error != 0) return finish("not there");  // the connection was refused
     send_line(client.fd, client.line);
     client.sent = true;
     return true;
   }
   char buffer[512];
   ssize_t n = ::recv(client.fd, buffer, sizeof buffer, 0);
-  if (n <= 0) return over("closed");
+  if (n <= 0) return finish("closed");
   client.in.append(buffer, static_cast<std::size_t>(n));
   std::size_t end = client.in.find("\r\n");
   if (end == std::string::npos) return true;
-  over(client.in.substr(0, end));
+  finish(client.in.substr(0, end));
   client.in.erase(0, end + 2);
   client.established = connection_duration_ > 0 && client.answer.text.starts_with("UP ");
   if (!client.established) return false;
@@ -293,7 +293,7 @@
 }
 
 bool FakeEnvironment::serve_established(Client& client) {
-  auto over = [&](ConnectionEnd::Cause cause, const std::string& line = "") {
+  auto finish = [&](ConnectionEnd::Cause cause, const std::string& line = "") {
     client.ending.at = now();
     client.ending.cause = cause;
     client.ending.line = line;
@@ -305,13 +305,13 @@
   if (n > 0) client.in.append(buffer, static_cast<std::size_t>(n));
   for (std::size_t end; (end = client.in.find("\r\n")) != std::string::npos; client.in.erase(0, end + 2)) {
     std::string line = client.in.substr(0, end);
-    if (line == "MOVE") return over(ConnectionEnd::moved);
-    if (!line.starts_with("say ")) return over(ConnectionEnd::unexpected_line, line);
+    if (line == "MOVE") return finish(ConnectionEnd::moved);
+    if (!line.starts_with("say ")) return finish(ConnectionEnd::unexpected_line, line);
     client.last_received = now();
   }
-  if (n == 0 || (n < 0 && errno != EAGAIN)) return over(ConnectionEnd::dropped);
-  if (now() >= client.end_time) return over(ConnectionEnd::by_client);
-  if (now() - client.last_received > kSilenceTimeoutS) return over(ConnectionEnd::silent);
+  if (n == 0 || (n < 0 && errno != EAGAIN)) return finish(ConnectionEnd::dropped);
+  if (now() >= client.end_time) return finish(ConnectionEnd::by_client);
+  if (now() - client.last_received > kSilenceTimeoutS) return finish(ConnectionEnd::silent);
   if (now() - client.last_sent > kMessageIntervalS) {
     client.last_sent = now();
     send_line(client.fd, "say " + client.answer.call);
--- a/tests/fleet/processes/fake_environment.h
+++ b/tests/fleet/processes/fake_environment.h
@@ -80,11 +80,11 @@
   struct Registry;
   void run();
   void step();
-  void step(Worker& worker);
-  void ask();
-  void ask(const std::string& balancer, const std::string& fields, const std::string& address,
-           const std::string& extra_fields = "");
-  bool step(Client& client);               // false if the call is over, without a connection that stays
+  void serve_worker(Worker& worker);
+  void place_due_calls();
+  void place_call(const std::string& balancer, const std::string& fields, const std::string& address,
+                  const std::string& extra_fields = "");
+  bool await_answer(Client& client);       // false if the call is over, without a connection that stays
   bool serve_established(Client& client);  // false if the connection has ended
   double now() const;
 
--- a/tests/fleet/processes/rules.cpp
+++ b/tests/fleet/processes/rules.cpp
@@ -70,12 +70,13 @@
 
 std::string check_cold_starts(const Observations& observed, std::size_t max_calls, double for_seconds) {
   for (const WorkerEvent& t : observed.worker_events) {
-    auto came = static_cast<std::size_t>(
+    auto received = static_cast<std::size_t>(
         std::count_if(observed.receipts.begin(), observed.receipts.end(), [&](const Receipt& r) {
           return t.what == "started" && r.worker == t.worker && r.at >= t.at && r.at <= t.at + for_seconds;
         }));
-    if (came > max_calls)
-      return t.worker + " received " + std::to_string(came) + " calls in its first " + seconds(for_seconds);
+    if (received > max_calls)
+      return t.worker + " received " + std::to_string(received) + " calls in its first " +
+             seconds(for_seconds);
   }
   return "";
 }
--- a/tests/fleet/processes/scenario_expectations.cpp
+++ b/tests/fleet/processes/scenario_expectations.cpp
@@ -22,11 +22,11 @@
   bool counts_match = true;
   last_state_.clear();
   for (const std::string& name : asked) {
-    double has = fleet_->counter(name, "marblehub_fleet_members_alive"),
+    double members = fleet_->counter(name, "marblehub_fleet_members_alive"),
            digest = fleet_->counter(name, "marblehub_fleet_view_digest");
     digests.insert(digest);
-    counts_match = counts_match && has == alive;
-    last_state_ += " " + name + "=" + std::to_string(static_cast<int>(has)) + "/" +
+    counts_match = counts_match && members == alive;
+    last_state_ += " " + name + "=" + std::to_string(static_cast<int>(members)) + "/" +
                    std::to_string(static_cast<long long>(digest));
   }
   return counts_match && digests.size() == 1;
@@ -160,8 +160,8 @@
 
 void ScenarioPlayer::expect_versions(const std::string& what, const std::string& expectation) {
   std::istringstream words(expectation);
-  std::string skip, list;
-  words >> skip >> skip;
+  std::string ignored, list;
+  words >> ignored >> ignored;
   if (what == "one") {
     words >> list;
     std::istringstream versions(list);
@@ -242,8 +242,8 @@
 // spread over SECONDS at most N%: no tenth of that time has more than N% of its calls
 void ScenarioPlayer::expect_spread(const std::string& expectation) {
   std::istringstream words(expectation);
-  std::string skip, fields;
-  words >> skip;
+  std::string ignored, fields;
+  words >> ignored;
   expect_word(words, "over");
   double seconds = read_number(words);
   expect_word(words, "at");
@@ -272,11 +272,11 @@
   Accountable accountable = [&](const std::string& b, double from, double to) {
     return fleet_->ran_throughout(b, from, to);
   };
-  for (const std::string& wrong :
+  for (const std::string& violation :
        {check_single_answer(observed, 2.95, accountable), check_drains(observed, 0.3, accountable),
         check_moves(observed, 5, accountable), check_attempts(observed, 4),
         check_cold_starts(observed, 40, 2)})
-    if (!wrong.empty()) throw ExpectationFailed(wrong);
+    if (!violation.empty()) throw ExpectationFailed(violation);
 }
 
 // receipts by version in order | served at most|least N | answered
@@ -301,9 +301,10 @@
           !fleet_->killed_during(a.balancer, a.asked, a.at))
         throw ExpectationFailed("call " + a.call + " had no answer: " + a.text);
   } else {
-    double clocks = std::stod(expectation.substr(expectation.rfind(' ')));
-    std::string wrong = check_version_order(fleet_->fake_environment()->receipts(), pools_, clocks);
-    if (!wrong.empty()) throw ExpectationFailed(wrong);
+    double clock_error_bound = std::stod(expectation.substr(expectation.rfind(' ')));
+    std::string violation =
+        check_version_order(fleet_->fake_environment()->receipts(), pools_, clock_error_bound);
+    if (!violation.empty()) throw ExpectationFailed(violation);
   }
 }
 
