--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 
 #include "../../../fuzz/fleet_readers.h"
-#include "changer.h"
+#include "mutator.h"
 
 namespace marblehub::fleet::fuzzing {
 namespace {
--- a/tests/fleet/random/random_test.cpp
+++ b/tests/fleet/random/random_test.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "world.h"
+#include "node_simulation.h"
 
 namespace marblehub::fleet::random_load {
 
--- a/tests/fleet/random/strangers_test.cpp
+++ b/tests/fleet/random/strangers_test.cpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <map>
 
-#include "changer.h"
+#include "mutator.h"
 #include "fleet/net/driver.h"
 #include "fleet/view/message.h"
 #include "support/sockets.h"
