--- a/tests/fleet/random/mutation_test.cpp
+++ b/tests/fleet/random/mutation_test.cpp
@@ -1,5 +1,5 @@
-// Mutated messages of every part through every reader and into whole nodes; .ci/run does it under the
-// sanitizers. MARBLEHUB_FUZZ_SEEDS=folder writes what it begins from, for libFuzzer.
+// Passes mutated messages of every component to every decoder and to complete nodes. .ci/run runs it with
+// sanitizers. MARBLEHUB_FUZZ_SEEDS=folder writes the initial inputs as a corpus for libFuzzer.
 #include <catch2/catch.hpp>
 #include <fstream>
 
@@ -9,6 +9,7 @@
 namespace marblehub::fleet::fuzzing {
 namespace {
 
+// One encoded command of each kind.
 std::vector<std::string> commands() {
   std::vector<std::string> all;
   const Body bodies[] = {
@@ -28,21 +29,22 @@
   return all;
 }
 
+// An encoded ledger after these commands, at index `applied`.
 std::string ledger_of(std::uint64_t applied) {
   Ledger ledger;
-  for (const std::string& octets : commands()) {
+  for (const std::string& bytes : commands()) {
     Command command;
-    REQUIRE(decode(octets, command));
+    REQUIRE(decode(bytes, command));
     apply(ledger, ledger.applied + 1, command);
   }
   ledger.applied = applied;
   return encode(ledger);
 }
 
-std::string unhashed(const std::string& octets) { return octets.substr(0, octets.size() - 8); }
+std::string without_checksum(const std::string& bytes) { return bytes.substr(0, bytes.size() - 8); }
 
-// Messages as a member would send them to one in term 1 with a log of an entry or two, without their hash.
-std::vector<std::string> of_record() {
+// Record messages for a member in term 1 with a log of one or two entries, without their checksum.
+std::vector<std::string> record_messages() {
   std::vector<std::string> all;
   for (int kind = kVoteRequest; kind <= kRejoinReply; ++kind)
     for (std::uint64_t term : {1, 2}) {
@@ -68,12 +70,13 @@
       if (kind == kForward) m.names = commands();
       if (kind == kLearnRedirect) m.names = {"boris", "celia", "dora"};
       if (kind == kSnapshotChunk) m.index = 40, m.bytes = ledger_of(40), m.total = m.bytes.size();
-      all.push_back(unhashed(encode_with_checksum(m)));
+      all.push_back(without_checksum(encode_with_checksum(m)));
     }
   return all;
 }
 
-std::vector<std::string> of_view() {
+// One encoded message of each kind of the view.
+std::vector<std::string> view_messages() {
   std::vector<std::string> all;
   for (int kind = 1; kind <= 8; ++kind) {
     view::ViewMessage message;
@@ -92,50 +95,52 @@
 
 }  // namespace
 
-TEST_CASE("every reader of the fleet takes mutated messages of every part", "[mutation]") {
-  std::vector<std::string> seeds = of_record();
-  for (const std::string& body : of_view()) seeds.push_back(body);
-  for (const std::string& command : commands()) seeds.push_back(unhashed(command));
-  seeds.push_back(unhashed(ledger_of(20)));
+TEST_CASE("every decoder of the fleet handles mutated messages of every component", "[mutation]") {
+  std::vector<std::string> seeds = record_messages();
+  for (const std::string& body : view_messages()) seeds.push_back(body);
+  for (const std::string& command : commands()) seeds.push_back(without_checksum(command));
+  seeds.push_back(without_checksum(ledger_of(20)));
   const std::string envelope =
-      EnvelopeSealer("tartu", {kKey}).seal({1, "boris", 1, kStart, Component::view, of_view().front()});
-  seeds.push_back(envelope.substr(36));  // without code and length: they are put there anew
-  for (const std::string& seed : seeds) REQUIRE(try_all_decoders(seed));  // the seeds are what they are to be
-  Changer changer{std::mt19937_64(20261203)};
+      EnvelopeSealer("tartu", {kKey}).seal({1, "boris", 1, kStart, Component::view, view_messages().front()});
+  seeds.push_back(
+      envelope.substr(36));  // without the authentication code and the length, which the decoder adds
+  for (const std::string& seed : seeds) REQUIRE(try_all_decoders(seed));  // unmutated seeds decode
+  Mutator mutator{std::mt19937_64(20261203)};
   std::size_t read = 0;
   constexpr int kRounds = 100'000;
   for (int i = 0; i < kRounds; ++i) {
-    std::string bytes = seeds[changer.below(seeds.size())];
-    changer.change(bytes);
-    const std::vector<char> exact(bytes.begin(), bytes.end());  // one octet too far is seen
+    std::string bytes = seeds[mutator.below(seeds.size())];
+    mutator.mutate(bytes);
+    const std::vector<char> exact(bytes.begin(),
+                                  bytes.end());  // sized exactly, so that sanitizers see an overread
     read += try_all_decoders({exact.data(), exact.size()});
   }
-  CHECK(read > kRounds / 10);  // not all were turned away at the first look
+  CHECK(read > kRounds / 10);  // some mutated messages still decode
 }
 
-TEST_CASE("whole nodes stand what a member of the fleet says wrong", "[mutation]") {
+TEST_CASE("complete nodes tolerate malformed messages of a fleet member", "[mutation]") {
   std::vector<std::string> inputs;
   for (int part = 0; part < 3; ++part) {
-    for (const std::string& body : of_record()) inputs.push_back(static_cast<char>(part | 4) + body);
-    for (const std::string& body : of_view())
+    for (const std::string& body : record_messages()) inputs.push_back(static_cast<char>(part | 4) + body);
+    for (const std::string& body : view_messages())
       for (int how : {8, 8 | 16, 8 | 32}) inputs.push_back(static_cast<char>(part | how) + body);
   }
   if (const char* folder = std::getenv("MARBLEHUB_FUZZ_SEEDS"))
     for (std::size_t i = 0; i < inputs.size(); ++i)
       std::ofstream(std::string(folder) + "/" + std::to_string(i), std::ios::binary) << inputs[i];
   for (const std::string& input : inputs) deliver_to_node(input);
-  Changer changer{std::mt19937_64(20261204)};
+  Mutator mutator{std::mt19937_64(20261204)};
   for (int i = 0; i < 20'000; ++i) {
-    std::string bytes = inputs[changer.below(inputs.size())];
+    std::string bytes = inputs[mutator.below(inputs.size())];
     std::string body = bytes.substr(1);
-    changer.change(body);
+    mutator.mutate(body);
     deliver_to_node(bytes[0] + body);
   }
-  SUCCEED("no node went past its memory or its bounds");
+  SUCCEED("no node exceeded its memory or its limits");
 }
 
-// What is no command was once taken for a fault of the disk, also where there is none to ask again.
-TEST_CASE("who has no disk stands an append whose entry is no command", "[mutation]") {
+// An entry that does not decode as a command must not be treated as a disk fault.
+TEST_CASE("a member without a disk tolerates an append whose entry is not a command", "[mutation]") {
   FuzzedNode fuzzed(NodeRole::without_disk);
   Message append;
   append.kind = kAppendRequest;
@@ -147,20 +152,20 @@
   CHECK(fuzzed.node->record().ledger().applied == 1);
 }
 
-TEST_CASE("without a right hash nothing of a record's message is believed", "[mutation]") {
-  Changer changer{std::mt19937_64(20261205)};
-  const std::vector<std::string> seeds = of_record();
+TEST_CASE("a record message with a wrong checksum changes nothing", "[mutation]") {
+  Mutator mutator{std::mt19937_64(20261205)};
+  const std::vector<std::string> seeds = record_messages();
   for (NodeRole part : {NodeRole::leader, NodeRole::follower, NodeRole::learner}) {
     FuzzedNode fuzzed(part);
     Record& record = fuzzed.node->record();
     const std::uint64_t before = digest(record.ledger()), term = record.term();
     const Role role = record.role();
     for (int i = 0; i < 5000; ++i) {
-      const std::string body = seeds[changer.below(seeds.size())];
-      std::string cut = with_checksum(body);
-      changer.change(cut);
-      if (cut == with_checksum(body)) continue;
-      fuzzed.deliver("boris", Component::record, cut, Transport::stream);
+      const std::string body = seeds[mutator.below(seeds.size())];
+      std::string mutated = with_checksum(body);
+      mutator.mutate(mutated);
+      if (mutated == with_checksum(body)) continue;
+      fuzzed.deliver("boris", Component::record, mutated, Transport::stream);
     }
     CHECK(digest(record.ledger()) == before);
     CHECK(record.term() == term);
--- a/tests/fleet/random/mutator.h
+++ b/tests/fleet/random/mutator.h
@@ -1,4 +1,4 @@
-// Octets cut, inserted, taken out, flipped, replaced, and now and then 64 KB of them.
+// Random mutation of byte strings, for tests of decoders.
 #pragma once
 
 #include <algorithm>
@@ -7,10 +7,12 @@
 
 namespace marblehub::fleet::fuzzing {
 
-struct Changer {
+// Truncates, inserts, erases, flips and replaces bytes, and rarely extends the string to 64 KiB.
+struct Mutator {
   std::mt19937_64 random;
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(random() % n); }
-  void change(std::string& bytes) {
+  // Applies one to four mutations, fewer when the string becomes empty.
+  void mutate(std::string& bytes) {
     for (std::size_t changes = 1 + below(4); changes > 0 && !bytes.empty(); --changes) {
       const std::size_t at = below(bytes.size());
       switch (below(12)) {
@@ -23,7 +25,7 @@
         case 2:
           bytes.erase(at, 1 + below(8));
           break;
-        case 3:  // a whole number at its bounds
+        case 3:  // an integer at its limits
           for (std::size_t i = at; i < std::min(bytes.size(), at + 8); ++i)
             bytes[i] = static_cast<char>(i + 1 == at + 8 ? 0x7f + below(2) : 0xff);
           break;
--- a/tests/fleet/random/rules_test.cpp
+++ b/tests/fleet/random/rules_test.cpp
@@ -1,5 +1,5 @@
-// Rules of the record that its fleet keeps twice over, so that random load alone shows nothing when one goes:
-// each is put to one member by messages that a real network may bring it late.
+// Rules of the record's consensus that overlap with others, so that random load does not show when one is
+// broken. Each is tested on a single member with messages that a network may delay or repeat.
 #include <catch2/catch.hpp>
 
 #include "../../../fuzz/fleet_readers.h"
@@ -8,9 +8,9 @@
 namespace {
 
 using fuzzing::kStart;
-constexpr Time kElectionTimeout =
-    300 * kMillisecond;  // half a lease, which is more than three bounds of the clock
+constexpr Time kElectionTimeout = 300 * kMillisecond;  // half a lease, and more than three clock error bounds
 
+// The record of the voter alva, which exchanges messages with boris.
 struct Voter {
   Voter() {
     settings.name = "alva";
@@ -18,8 +18,8 @@
     start(true);
   }
   void start(bool first) { record = std::make_unique<Record>(settings, ++incarnation, &disk, first, 1, now); }
-  // What it says to boris on hearing this from him.
-  std::vector<Message> hear(Message& message) {
+  // Delivers a message from boris; returns the replies to boris.
+  std::vector<Message> receive(Message& message) {
     Outbox out;
     record->received(now, "boris", encode_with_checksum(message), out);
     return to_boris(out);
@@ -38,32 +38,34 @@
     }
     return all;
   }
-  std::vector<Message> ask(std::uint64_t term) {  // a real vote, not the question before it
+  // Requests a vote for boris in `term` (not a pre-vote).
+  std::vector<Message> request_vote(std::uint64_t term) {
     Message m;
     m.kind = kVoteRequest;
     m.term = term;
     m.index = m.index_term = 9;
-    return hear(m);
+    return receive(m);
   }
-  Message answer(std::uint8_t kind, bool flag = true) {
+  // A message of boris in the current term.
+  Message message_of(std::uint8_t kind, bool flag = true) {
     Message m;
     m.kind = kind;
     m.term = record->term();
     m.flag = flag;
     return m;
   }
-  // Boris gives it both his words; it leads and has said so.
-  std::vector<Message> lead() {
+  // Boris grants its pre-vote and its vote; returns its first messages as the leader.
+  std::vector<Message> become_leader() {
     now = record->next_due();
     tick();
-    Message pre = answer(kVoteReply);
+    Message pre = message_of(kVoteReply);
     pre.term += 1;
     pre.offset = 1;
-    hear(pre);
-    Message vote = answer(kVoteReply);
-    auto said = hear(vote);
+    receive(pre);
+    Message vote = message_of(kVoteReply);
+    auto sent = receive(vote);
     REQUIRE(record->role() == Role::leader);
-    return said;
+    return sent;
   }
 
   Settings settings;
@@ -73,91 +75,91 @@
   Time now = kStart;
 };
 
-// From now on, in term 1.
+// Checks that the voter, in term 1, grants no vote until an election timeout from now has passed.
 void votes_only_after_election_timeout(Voter& voter) {
   voter.now += kElectionTimeout - 1;
-  CHECK(voter.ask(2).empty());
+  CHECK(voter.request_vote(2).empty());
   CHECK(voter.record->term() == 1);
   voter.now += 1;
-  const auto said = voter.ask(2);
-  REQUIRE(said.size() == 1);
-  CHECK(said[0].flag);
+  const auto sent = voter.request_vote(2);
+  REQUIRE(sent.size() == 1);
+  CHECK(sent[0].flag);
 }
 
 }  // namespace
 
-TEST_CASE("who hears a leader gives no vote, though no question came before it") {
+TEST_CASE("a voter that hears a leader grants no vote, even without a preceding pre-vote") {
   Voter voter;
-  Message append = voter.answer(kAppendRequest);
+  Message append = voter.message_of(kAppendRequest);
   append.term = 1;
-  voter.hear(append);
+  voter.receive(append);
   votes_only_after_election_timeout(voter);
 }
 
-TEST_CASE("a voter that starts gives no vote before it would have missed a leader") {
+TEST_CASE("a restarted voter grants no vote before an election timeout has passed") {
   Voter voter;
-  Message append = voter.answer(kAppendRequest);
+  Message append = voter.message_of(kAppendRequest);
   append.term = 1;
-  voter.hear(append);
-  voter.start(false);                                 // at the moment at which it had heard one
-  Message known = voter.answer(kRejoinReply, false);  // boris follows nobody
-  voter.hear(known);
+  voter.receive(append);
+  voter.start(false);                                     // at the time at which it received the append
+  Message known = voter.message_of(kRejoinReply, false);  // boris follows no leader
+  voter.receive(known);
   REQUIRE(voter.record->may_vote());
   votes_only_after_election_timeout(voter);
 }
 
-TEST_CASE("an answer that comes late says nothing of the time since what it answers was sent") {
+TEST_CASE("a late append reply extends the lease only from the time of its request") {
   Voter leader;
-  const auto said = leader.lead();
-  REQUIRE_FALSE(said.empty());
-  Message taken = leader.answer(kAppendReply);
-  taken.index = 1;
-  taken.heartbeat = said.back().heartbeat;
-  leader.hear(taken);
+  const auto sent = leader.become_leader();
+  REQUIRE_FALSE(sent.empty());
+  Message reply = leader.message_of(kAppendReply);
+  reply.index = 1;
+  reply.heartbeat = sent.back().heartbeat;
+  leader.receive(reply);
   leader.tick();
   REQUIRE(leader.record->grant());
   const Time until = leader.record->grant()->until;
-  leader.now = taken.heartbeat + kElectionTimeout;  // boris may have voted for another by now
-  leader.hear(taken);                               // again: the network had kept a copy
+  leader.now = reply.heartbeat + kElectionTimeout;  // boris may have voted for another candidate
+  leader.receive(reply);                            // duplicated by the network
   leader.tick();
   CHECK(leader.record->grant()->until == until);
-  taken.heartbeat = leader.now;
-  leader.hear(taken);
+  reply.heartbeat = leader.now;
+  leader.receive(reply);
   leader.now += kElectionTimeout / 4;
   leader.tick();
   CHECK(leader.record->grant()->until > until);
 }
 
-TEST_CASE("a new leader grants nothing before an entry of its own is agreed") {
+TEST_CASE("a new leader grants no lease before an entry of its own term is committed") {
   Voter leader;
-  Message taken = leader.answer(kAppendReply);
-  taken.heartbeat = leader.lead().back().heartbeat;
-  taken.term = leader.record->term();
-  leader.hear(taken);  // a majority speaks to it, and what was activated before it may stand in its log
+  Message reply = leader.message_of(kAppendReply);
+  reply.heartbeat = leader.become_leader().back().heartbeat;
+  reply.term = leader.record->term();
+  leader.receive(reply);  // a majority replies, but its log may hold uncommitted activations
   leader.now += kElectionTimeout / 4;
   leader.tick();
   CHECK_FALSE(leader.record->grant());
-  taken.index = 1;
-  leader.hear(taken);
+  reply.index = 1;
+  leader.receive(reply);
   leader.tick();
   CHECK(leader.record->grant());
 }
 
-TEST_CASE("an entry of an older term is agreed only with one of the leader's own") {
+TEST_CASE("an entry of an older term is committed only with one of the leader's own term") {
   Voter leader;
-  Message append = leader.answer(kAppendRequest);
+  Message append = leader.message_of(kAppendRequest);
   append.term = 1;
   auto& entry = *append.entries.emplace_back(std::make_unique<fb::EntryT>());
   entry.index = entry.term = 1;
-  leader.hear(append);
-  leader.lead();
+  leader.receive(append);
+  leader.become_leader();
   REQUIRE(leader.record->term() == 2);
-  Message taken = leader.answer(kAppendReply);
-  taken.index = taken.index_term = 1;  // two of three have it, and yet another may replace it
-  leader.hear(taken);
+  Message reply = leader.message_of(kAppendReply);
+  reply.index = reply.index_term = 1;  // two of three hold it, but another leader may still replace it
+  leader.receive(reply);
   CHECK(leader.record->ledger().applied == 0);
-  taken.index = 2, taken.index_term = 2;
-  leader.hear(taken);
+  reply.index = 2, reply.index_term = 2;
+  leader.receive(reply);
   CHECK(leader.record->ledger().applied == 2);
 }
 
