--- a/tests/settings/policies.h
+++ b/tests/settings/policies.h
@@ -1,5 +1,4 @@
-// The policies that a simulated fleet's balancers may have: the one under test, and a plain one to compare
-// with.
+// The policies of a simulated fleet's balancers: the one under test, and a random one for comparison.
 #pragma once
 
 #include <map>
@@ -10,57 +9,59 @@
 
 #include "simulated_fleet.h"
 
-namespace marblehub::settings_play {
+namespace marblehub::random_settings {
 
-struct ByModule : Policy {
+// The policy under test.
+struct BalancerPolicy : Policy {
   Balancer balancer;
-  ByModule(const Settings& s, std::uint64_t seed, Time now) : balancer(s, seed, now) {}
+  BalancerPolicy(const Settings& s, std::uint64_t seed, Time now) : balancer(s, seed, now) {}
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     balancer.handle(now, event, actions);
   }
 };
 
-// Any listed worker for each attempt, at once. Nothing else.
-struct ByChance : Policy {
+// Places each attempt at once on a random serving worker of the list. It never probes, waits or moves.
+struct RandomPolicy : Policy {
   Settings settings;
-  std::mt19937_64 chance;
+  std::mt19937_64 rng;
   std::map<std::string, bool> listed;
-  struct Held {
+  // A call that is neither established nor rejected yet.
+  struct PendingCall {
     Time deadline;
     int attempts;
   };
-  std::map<std::uint64_t, Held> held;
+  std::map<std::uint64_t, PendingCall> pending;
 
-  ByChance(const Settings& s, std::uint64_t seed) : settings(s), chance(seed) {}
+  RandomPolicy(const Settings& s, std::uint64_t seed) : settings(s), rng(seed) {}
   void place(Time now, std::uint64_t id, std::vector<Action>& actions) {
-    std::vector<std::string> may;
-    for (auto& [name, good] : listed)
-      if (good) may.push_back(name);
-    Held& h = held[id];
-    Time left = h.deadline - now - 50 * kMs;
-    if (may.empty() || left <= 0 || h.attempts >= settings.max_attempts) {
-      held.erase(id);
+    std::vector<std::string> candidates;
+    for (auto& [name, serving] : listed)
+      if (serving) candidates.push_back(name);
+    PendingCall& call = pending[id];
+    Time left = call.deadline - now - 50 * kMs;
+    if (candidates.empty() || left <= 0 || call.attempts >= settings.max_attempts) {
+      pending.erase(id);
       return actions.push_back(Reject{id, 0});
     }
-    h.attempts += 1;
-    actions.push_back(
-        Submit{id, may[chance() % may.size()], now + left / (settings.max_attempts - h.attempts + 1)});
+    call.attempts += 1;
+    actions.push_back(Submit{id, candidates[rng() % candidates.size()],
+                             now + left / (settings.max_attempts - call.attempts + 1)});
   }
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     if (auto* e = std::get_if<EndpointListEvent>(&event)) {
       if (!e->entries) return;
       for (const BackendEntry& entry : *e->entries) listed[entry.address] = entry.health == Health::serving;
     } else if (auto* r = std::get_if<RequestEvent>(&event)) {
-      held[r->id] = {now + r->expires_in, 0};
+      pending[r->id] = {now + r->expires_in, 0};
       place(now, r->id, actions);
     } else if (auto* up = std::get_if<EstablishedEvent>(&event)) {
-      held.erase(up->id);
+      pending.erase(up->id);
     } else if (auto* gone = std::get_if<ClientGoneEvent>(&event)) {
-      held.erase(gone->id);
+      pending.erase(gone->id);
     } else if (auto* result = std::get_if<ResultEvent>(&event)) {
-      if (held.count(result->id) && !result->terminal) place(now, result->id, actions);
+      if (pending.count(result->id) && !result->terminal) place(now, result->id, actions);
     }
   }
 };
 
-}  // namespace marblehub::settings_play
+}  // namespace marblehub::random_settings
--- a/tests/settings/running_test.cpp
+++ b/tests/settings/running_test.cpp
@@ -1,6 +1,6 @@
-// Whole days in short: what must hold under any settings, and against chance. That no call has more attempts
-// than allowed, two at once, or other than one answer in time, and that none goes to a worker that leaves,
-// the fleet itself checks throughout.
+// Properties of a simulated fleet under any settings, and in comparison with random placement. The simulation
+// itself checks that a call has no concurrent attempts, no more attempts than allowed and one answer in time,
+// and that no attempt goes to a draining worker.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -8,143 +8,140 @@
 
 #include "simulated_fleet.h"
 
-using namespace marblehub::settings_play;
+using namespace marblehub::random_settings;
 
 namespace {
 
-// The share of calls that is refused or fails.
-double turned_away(const Figures& f) {
+// The share of calls that are refused or fail.
+double refused_share(const Statistics& f) {
   return f.calls > 0 ? static_cast<double>(f.refused) / static_cast<double>(f.calls) : 0;
 }
 
-enum class Trouble { errors, store_out, half_dead, registry_silent };
-void showValue(Trouble t, std::ostream& os) {
-  static const char* const names[] = {"errors", "store out", "half dead", "registry silent"};
+// What fails in the simulated fleet.
+enum class Failure { errors, store_out, half_killed, registry_out };
+void showValue(Failure t, std::ostream& os) {
+  static const char* const names[] = {"errors", "store out", "half of the workers killed", "registry out"};
   os << names[static_cast<int>(t)];
 }
-constexpr Time kSettled = 10 * kS;  // after a trouble as many are refused as before it, and all news is told
+// After this time refusals are back at their previous level and all list changes are known.
+constexpr Time kRecoveryTime = 10 * kS;
 
 }  // namespace
 
-// May be worse by 0.01 of the worth: a call may wait for two reports of its worker, each up to a sweep and 30
-// ms, which is 0.008 of a connection of 20 s. What probes cost is bounded beside it, as the settings price
-// them.
+// Allows a loss of 0.01 of the served value: a call may wait for two load reports, each for up to one sweep
+// and 30 ms, which is 0.008 of a connection of 20 s. The cost of probes, as priced by the settings, has a
+// bound of its own.
 TEST_CASE("under any settings a calm fleet is served no worse than by random choice") {
-  double least = 1, most = -1;
-  bool held = under_any_settings("calm", 6, [&](const Drawn& d) {
-    auto day = [&](bool by_chance) {
-      SimulatedFleet fleet(d, by_chance);
+  double min_gain = 1, max_gain = -1;
+  bool passed = check_random_settings("calm", 6, [&](const Deployment& d) {
+    auto run_fleet = [&](bool random_policy) {
+      SimulatedFleet fleet(d, random_policy);
       fleet.run(30 * kS);
-      fleet.end();
-      return fleet.since_last();
+      fleet.finish();
+      return fleet.take_statistics();
     };
-    Figures chosen = day(false), chance = day(true);
-    double better = chosen.served / chosen.asked - chance.served / chance.asked;
-    least = std::min(least, better), most = std::max(most, better);
-    RC_ASSERT(better >= -0.01);
-    // 0.0045 points a call, for the first hundred and for one a second; each balancer may overdraw by two
-    double calls = static_cast<double>(chosen.calls) + 100 + 120;
-    double cost = d.price_probe * (static_cast<double>(chosen.probes) - 3 * d.balancers);
+    Statistics policy_run = run_fleet(false), random_run = run_fleet(true);
+    double gain = policy_run.served / policy_run.requested - random_run.served / random_run.requested;
+    min_gain = std::min(min_gain, gain), max_gain = std::max(max_gain, gain);
+    RC_ASSERT(gain >= -0.01);
+    // The probe budget is 0.0045 per call, plus 100 initial calls and one call per second; each balancer may
+    // exceed it by its last probes.
+    double calls = static_cast<double>(policy_run.calls) + 100 + 120;
+    double cost = d.price_probe * (static_cast<double>(policy_run.probes) - 3 * d.balancers);
     RC_ASSERT(cost <= 0.0045 * calls);
   });
-  std::cout << "worth over random choice: " << least << " to " << most << "\n";
-  REQUIRE(held);
+  std::cout << "served value over random choice: " << min_gain << " to " << max_gain << "\n";
+  REQUIRE(passed);
 }
 
-// A worker's drain is told to each balancer in its own time; the fleet holds each to it.
-TEST_CASE("under any settings nothing new goes to a worker that leaves") {
-  bool held = under_any_settings("leaving", 6, [&](const Drawn& d) {
+// Each balancer learns of a drain at a different time; the simulation checks its attempts from then on.
+TEST_CASE("under any settings no new connection goes to a draining worker") {
+  bool passed = check_random_settings("leaving", 6, [&](const Deployment& d) {
     SimulatedFleet fleet(d);
     fleet.run(6 * kS);
-    for (std::size_t i = 0; i < fleet.workers(); i += 3) fleet.drain(i);
+    for (std::size_t i = 0; i < fleet.worker_count(); i += 3) fleet.drain(i);
     fleet.run(10 * kS);
-    RC_ASSERT(fleet.since_last().attempts > 0);
-    fleet.end();
+    RC_ASSERT(fleet.take_statistics().attempts > 0);
+    fleet.finish();
   });
-  REQUIRE(held);
+  REQUIRE(passed);
 }
 
-// A balancer that has met errors has two set-ups under way, or two failures within its class's wanted time,
-// which fade to 1/e in that: it may try again after ln 1.5 of it. Before, as many are out as there were
-// calls, and the bound falls by half a round.
+// After its first error a balancer allows two set-ups or recent failures at a time. Failures decay to 1/e
+// within the class's objective (slo_us), which allows a new attempt every ln 1.5 objectives. Attempts before
+// the first error are limited by the calls only, and the bound falls by half a round.
 TEST_CASE("under any settings attempts are bounded while all workers answer with an error") {
-  double most = 0;
-  bool held = under_any_settings("error storm", 6, [&](const Drawn& d, bool probes_too) {
+  double max_gain = 0;
+  bool passed = check_random_settings("error storm", 6, [&](const Deployment& d, bool probes_too) {
     SimulatedFleet fleet(d);
     fleet.run(8 * kS);
-    fleet.errors(true, probes_too);
+    fleet.set_errors(true, probes_too);
     constexpr Time kStorm = 6 * kS;
     fleet.run(kStorm);
     double slo = static_cast<double>(d.settings(0).classes[0].slo_us);
-    for (const SimulatedFleet::Storm& s : fleet.storm()) {
-      double bound = 2 * s.before + 3 + kStorm / (std::log(1.5) * slo);
-      most = std::max(most, s.all / bound);
-      RC_ASSERT(s.all <= bound);
+    for (const SimulatedFleet::ErrorStorm& s : fleet.error_storm()) {
+      double bound = 2 * s.before_error + 3 + kStorm / (std::log(1.5) * slo);
+      max_gain = std::max(max_gain, s.total / bound);
+      RC_ASSERT(s.total <= bound);
     }
-    fleet.errors(false, false);
-    fleet.end();
+    fleet.set_errors(false, false);
+    fleet.finish();
   });
-  std::cout << "attempts in a storm, of what is allowed: " << most << "\n";
-  REQUIRE(held);
+  std::cout << "attempts in an error storm, as a share of the bound: " << max_gain << "\n";
+  REQUIRE(passed);
 }
 
-// A session store that all workers ask for each set-up was out for 6 s, and long after its end 95% of the
-// calls were refused: seed=5, 84th play, a store of 4 times the usual rate, 5 attempts a call. The store
-// works off set-ups in turn, also those given up meanwhile. At its return its queue passed 0.36 s, the
-// time-out of one of five attempts, so each attempt was given up before its turn and begun anew behind the
-// queue: 174 attempts a second where 96 are worked off, the queue 11.6 s long after 15 s. With no retries of
-// the clients, or with at most 3 attempts a call, it healed at once. docs/incidents/2026-12-03-store-jam.md
-// has the figures.
-// With seeds 1070 and 1094 a further fault showed after "half dead": calls of groups were held until their
-// deadline and refused with no attempt ("reject attempts 0 left 0.03 admitted 1.00"), while warm workers
-// stood at a load of 0.1: all backends of the group warmed up and were closed.
-TEST_CASE("under any settings refusals fall back within seconds after a trouble") {
+// Guards against retries that keep an overload alive after its cause has ended, such as attempts that time
+// out in the session store's queue and are started again behind it (docs/incidents/2026-12-03-store-jam.md),
+// and against groups whose calls are rejected without an attempt although workers have spare capacity.
+TEST_CASE("under any settings refusals fall back within seconds after a failure") {
   double worst = 0;
-  bool held = under_any_settings("after trouble", 300, [&](const Drawn& d, bool probes_too) {
-    Trouble kind =
-        *rc::gen::element(Trouble::errors, Trouble::store_out, Trouble::half_dead, Trouble::registry_silent);
+  bool passed = check_random_settings("after trouble", 300, [&](const Deployment& d, bool probes_too) {
+    Failure kind =
+        *rc::gen::element(Failure::errors, Failure::store_out, Failure::half_killed, Failure::registry_out);
     SimulatedFleet fleet(d);
     fleet.run(10 * kS);
-    double before = turned_away(fleet.since_last());
-    auto trouble = [&](bool on) {
-      if (kind == Trouble::errors) fleet.errors(on, probes_too);
-      if (kind == Trouble::store_out) fleet.store(!on);
-      if (kind == Trouble::registry_silent) fleet.registry(!on);
-      for (std::size_t i = 0; kind == Trouble::half_dead && i < fleet.workers(); i += 2)
+    double before = refused_share(fleet.take_statistics());
+    auto set_failure = [&](bool on) {
+      if (kind == Failure::errors) fleet.set_errors(on, probes_too);
+      if (kind == Failure::store_out) fleet.set_store_available(!on);
+      if (kind == Failure::registry_out) fleet.set_registry_available(!on);
+      for (std::size_t i = 0; kind == Failure::half_killed && i < fleet.worker_count(); i += 2)
         on ? fleet.kill(i) : fleet.revive(i);
     };
-    trouble(true);
-    if (kind == Trouble::registry_silent) fleet.drain(0);  // of which nobody can be told
+    set_failure(true);
+    if (kind == Failure::registry_out) fleet.drain(0);  // no balancer can learn of it
     fleet.run(6 * kS);
-    trouble(false);
-    fleet.run(kSettled);
-    fleet.since_last();
+    set_failure(false);
+    fleet.run(kRecoveryTime);
+    fleet.take_statistics();
     fleet.run(5 * kS);
-    double after = turned_away(fleet.since_last());
+    double after = refused_share(fleet.take_statistics());
     worst = std::max(worst, after - before);
     RC_ASSERT(after <= before + 0.02);  // a call or two
-    RC_ASSERT(kind != Trouble::registry_silent || fleet.untold(0) == 0);
-    fleet.end();
+    RC_ASSERT(kind != Failure::registry_out || fleet.unaware_balancers(0) == 0);
+    fleet.finish();
   });
-  std::cout << "more refusals than before the trouble: " << worst << "\n";
-  REQUIRE(held);
+  std::cout << "increase in refusals after the failure: " << worst << "\n";
+  REQUIRE(passed);
 }
 
-// The settings of a play of the property above (seed 1023): 10 s after half of the workers came back cold, a
-// third of the calls is still refused, all by admission ("reject reason 0 attempts 0 admitted 0.15"). The
-// other half stands at a load of 0.7 to 1.1 while those that came back are little more than half full.
+// Guards against admission control that keeps refusing calls after half of the workers have restarted cold,
+// while these workers have spare capacity. The deployment is one that the property above draws with seed
+// 1023.
 TEST_CASE("refusals fall back after half of a full fleet came back cold") {
-  Drawn d = kolobeh();
-  d.workers = 16, d.zones = 1, d.price_probe = 0.02, d.cold_share = 0.36, d.level = 0.4, d.calls = 12;
-  d.client_retries = 3, d.notes = true, d.list_lag = 6 * kS, d.seed = 370643;
+  Deployment d = single_class_deployment();
+  d.workers = 16, d.zones = 1, d.price_probe = 0.02, d.cold_share = 0.36, d.load_level = 0.4,
+  d.calls_per_second = 12;
+  d.client_retries = 3, d.connection_updates = true, d.endpoint_list_delay = 6 * kS, d.seed = 370643;
   SimulatedFleet fleet(d);
   fleet.run(10 * kS);
-  double before = turned_away(fleet.since_last());
-  for (std::size_t i = 0; i < fleet.workers(); i += 2) fleet.kill(i);
+  double before = refused_share(fleet.take_statistics());
+  for (std::size_t i = 0; i < fleet.worker_count(); i += 2) fleet.kill(i);
   fleet.run(6 * kS);
-  for (std::size_t i = 0; i < fleet.workers(); i += 2) fleet.revive(i);
-  fleet.run(kSettled);
-  fleet.since_last();
+  for (std::size_t i = 0; i < fleet.worker_count(); i += 2) fleet.revive(i);
+  fleet.run(kRecoveryTime);
+  fleet.take_statistics();
   fleet.run(5 * kS);
-  REQUIRE(turned_away(fleet.since_last()) <= before + 0.02);  // a call or two
+  REQUIRE(refused_share(fleet.take_statistics()) <= before + 0.02);  // a call or two
 }
--- a/tests/settings/simulated_fleet.h
+++ b/tests/settings/simulated_fleet.h
@@ -1,5 +1,5 @@
-// Balancers' modules, clients, workers, a session store and a registry on one virtual clock. All is plain on
-// purpose: the fleet shares no rule with the module and holds it to what must be true under any settings.
+// Simulates balancers, clients, workers, a session store and a registry on one virtual clock. The simulation
+// shares no placement rule with the balancer and checks properties that hold under any settings.
 #pragma once
 
 #include <functional>
@@ -11,117 +11,128 @@
 #include <stdexcept>
 #include <vector>
 
-#include "drawn.h"
 #include "policy/slow_start/factor.h"
 #include "policy/state/decaying_value.h"
+#include "random_deployment.h"
 
-namespace marblehub::settings_play {
+namespace marblehub::random_settings {
 
 constexpr Time kMs = 1000, kS = 1'000'000;
-constexpr Time kGrace = 250 * kMs;  // after a drain is told: the shorter of the two deployments' figures
+constexpr Time kDrainGrace =
+    250 * kMs;  // attempts may still reach a worker this long after its drain is known
 
-struct Wrong : std::runtime_error {
+// A checked property does not hold; RapidCheck reports the text.
+struct PropertyViolation : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Who decides: the module, or what it is measured against.
+// Makes a balancer's placement decisions: the balancer under test, or the policy it is compared with.
 struct Policy {
   virtual ~Policy() = default;
   virtual void handle(Time now, const Event& event, std::vector<Action>& actions) = 0;
 };
 
-struct Figures {
-  double asked = 0, served = 0;  // worth of connection-seconds, from each client's first call on
-  long calls = 0, refused = 0;   // tries of clients; answered with a refusal or a failure
+// Counts and totals of a period.
+struct Statistics {
+  double requested = 0, served = 0;  // value of connection-seconds, from each client's first call
+  long calls = 0, refused = 0;       // calls of clients, retries included; those refused or failed
   long attempts = 0, probes = 0, moves = 0;
-  double priced(const Drawn& d) const {  // as settings price it, of 1
-    return served / asked - d.price_probe * static_cast<double>(probes) / static_cast<double>(calls);
+  double net_value(const Deployment& d) const {  // served share minus the price of probes
+    return served / requested - d.price_probe * static_cast<double>(probes) / static_cast<double>(calls);
   }
 };
 
+// Owns all parts of the simulation. Times are in microseconds. run() and finish() throw PropertyViolation
+// when a checked property does not hold.
 class SimulatedFleet {
  public:
-  explicit SimulatedFleet(const Drawn& drawn,
-                          bool by_chance = false);  // by_chance: a random worker for each attempt
+  explicit SimulatedFleet(const Deployment& deployment,
+                          bool random_policy = false);  // places attempts on random workers
   ~SimulatedFleet();
 
-  void run(Time span);  // clients come all the while
-  void end();           // none come any more: all is over after a while, and nothing may be owed
+  void run(Time span);  // clients arrive throughout
+  void finish();        // stops arrivals, waits until all calls end and checks that none is left
 
-  Figures since_last();  // what came of the time since the last call
+  Statistics take_statistics();  // statistics since the previous call
 
-  // Troubles, each until it is told otherwise.
-  void errors(bool on, bool probes_too);  // all workers answer every call with an error
-  void store(bool on) { store_out_ = !on; }
+  // Failures, which last until they are undone.
+  void set_errors(bool on, bool probes_too);  // all workers answer every call with an error
+  void set_store_available(bool on) { store_out_ = !on; }
   void kill(std::size_t worker);    // connections are reset, new ones refused
-  void revive(std::size_t worker);  // cold
+  void revive(std::size_t worker);  // restarts it with a cold start
   void drain(std::size_t worker);
-  void registry(bool on);
-  std::size_t workers() const { return static_cast<std::size_t>(drawn_.workers); }
+  void set_registry_available(bool on);
+  std::size_t worker_count() const { return static_cast<std::size_t>(deployment_.workers); }
   Time now() const { return now_; }
-  const Drawn& drawn() const { return drawn_; }
-  int untold(std::size_t worker) const;  // balancers that do not know that it leaves
-
-  // Attempts since the error storm began, at each balancer before its first error and in all.
-  struct Storm {
-    int before = 0, all = 0;
-    bool met = false;
+  const Deployment& deployment() const { return deployment_; }
+  int unaware_balancers(std::size_t worker) const;  // number of balancers that do not know that it drains
+
+  // Attempts of a balancer since all workers began to answer with errors: before its first error, and in
+  // total.
+  struct ErrorStorm {
+    int before_error = 0, total = 0;
+    bool error_seen = false;
   };
-  const std::vector<Storm>& storm() const { return storm_; }
+  const std::vector<ErrorStorm>& error_storm() const { return error_storm_; }
 
  private:
   struct Client;
   struct Call;
   struct Worker;
-  struct Balancing;
-  using Deed = std::function<void()>;
-  struct Due {
+  struct SimulatedBalancer;
+  using Task = std::function<void()>;
+  // A task at a virtual time; `order` breaks ties.
+  struct ScheduledTask {
     Time when;
     std::uint64_t order;
-    Deed deed;
-    bool operator>(const Due& o) const { return when != o.when ? when > o.when : order > o.order; }
+    Task task;
+    bool operator>(const ScheduledTask& o) const { return when != o.when ? when > o.when : order > o.order; }
   };
 
-  void at(Time when, Deed deed) { due_.push({when, order_++, std::move(deed)}); }
+  void schedule(Time when, Task task) { tasks_.push({when, order_++, std::move(task)}); }
   double uniform(std::mt19937_64& of) { return static_cast<double>(of() >> 11) * 0x1p-53; }
-  Call* call(std::size_t balancer, std::uint64_t id);
+  Call* find_call(std::size_t balancer, std::uint64_t id);
 
   void next_client();
-  void comes(std::shared_ptr<Client> client);
-  void again(std::shared_ptr<Client> client, Time after, bool broken);
-  void tell(std::size_t balancer, const Event& event);
-  void act(std::size_t balancer, const Submit& action);
-  void act(std::size_t balancer, const Reject& action) { answer(balancer, action.id, action.retry_after); }
-  void act(std::size_t balancer, const Fail& action) { answer(balancer, action.id, 0); }
-  void act(std::size_t balancer, const Redirect& action);
-  void act(std::size_t balancer, const Probe& action);
-  void act(std::size_t balancer, const WatchEndpoints&);
-  void act(std::size_t balancer, const SetTimer& action);
-  void answer(std::size_t balancer, std::uint64_t id, Time pause);
-  void reaches(std::size_t balancer, std::uint64_t id, int attempt);
-  void stands(std::size_t balancer, std::uint64_t id, int attempt);
-  void result(std::size_t balancer, std::uint64_t id, int attempt, Outcome outcome, bool terminal);
-  void nonsense(std::size_t balancer);
-
-  double level(const Worker& w) const;
+  void start_call(std::shared_ptr<Client> client);
+  void call_again(std::shared_ptr<Client> client, Time after, bool broken);
+  void send_event(std::size_t balancer, const Event& event);
+  void execute(std::size_t balancer, const Submit& action);
+  void execute(std::size_t balancer, const Reject& action) {
+    answer_call(balancer, action.id, action.retry_after);
+  }
+  void execute(std::size_t balancer, const Fail& action) { answer_call(balancer, action.id, 0); }
+  void execute(std::size_t balancer, const Redirect& action);
+  void execute(std::size_t balancer, const Probe& action);
+  void execute(std::size_t balancer, const WatchEndpoints&);
+  void execute(std::size_t balancer, const SetTimer& action);
+  void answer_call(std::size_t balancer, std::uint64_t id, Time pause);
+  void attempt_received(std::size_t balancer, std::uint64_t id, int attempt);
+  void connection_established(std::size_t balancer, std::uint64_t id, int attempt);
+  void report_result(std::size_t balancer, std::uint64_t id, int attempt, Outcome outcome, bool terminal);
+  // Sends events for unknown or ended calls, attempts and workers, which a balancer must ignore.
+  void send_stale_events(std::size_t balancer);
+
+  double load_level(const Worker& w) const;
   void advance(Worker& w);
-  LoadReport report(Worker& w, bool with_result);
-  void list_changed(std::size_t worker);
+  LoadReport load_report(Worker& w, bool with_result);
+  void announce_worker(std::size_t worker);
   BackendEntry entry(std::size_t worker) const;
-  std::size_t number(const std::string& address) const;
+  std::size_t worker_index(const std::string& address) const;
 
-  Drawn drawn_;
+  Deployment deployment_;
   Time now_ = 100 * kS;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<ScheduledTask, std::vector<ScheduledTask>, std::greater<>> tasks_;
   std::uint64_t order_ = 0, next_id_ = 1, next_number_ = 1;
-  std::mt19937_64 arrivals_, chance_;
-  bool open_ = true, errors_ = false, errors_on_probes_ = false, store_out_ = false, registry_out_ = false;
+  std::mt19937_64 arrival_rng_, rng_;
+  bool accepting_clients_ = true, errors_ = false, errors_on_probes_ = false, store_out_ = false,
+       registry_out_ = false;
   Time store_free_ = 0;
   std::vector<Worker> workers_;
-  std::vector<Balancing> balancers_;
-  std::vector<Storm> storm_;
-  Figures figures_;
+  std::vector<SimulatedBalancer> balancers_;
+  std::vector<ErrorStorm> error_storm_;
+  Statistics statistics_;
   double served_ = 0;
 };
 
-}  // namespace marblehub::settings_play
+}  // namespace marblehub::random_settings
