--- a/tests/settings/simulated_fleet.cpp
+++ b/tests/settings/simulated_fleet.cpp
@@ -1,3 +1,4 @@
+// The clients of a simulated fleet, and the events and actions of its balancers.
 #include "simulated_fleet.h"
 
 #include <algorithm>
@@ -88,8 +89,7 @@
                     [&](const SimulatedBalancer& b) { return !b.drain_known_since.count(worker); }));
 }
 
-// ---- Client arrivals and calls
-// -------------------------------------------------------------------------------------
+// ---- Client arrivals and calls ------------------------------------------------------------------
 
 void SimulatedFleet::next_client() {
   auto c = std::make_shared<Client>();
@@ -166,8 +166,7 @@
   send_event(b, TimerEvent{77});
 }
 
-// ---- Events and actions of the balancers
-// -----------------------------------------------------------------------------------
+// ---- Events and actions of the balancers --------------------------------------------------------
 
 SimulatedFleet::Call* SimulatedFleet::find_call(std::size_t balancer, std::uint64_t id) {
   auto it = balancers_[balancer].calls.find(id);
--- a/tests/settings/simulated_fleet.h
+++ b/tests/settings/simulated_fleet.h
@@ -18,8 +18,8 @@
 namespace marblehub::random_settings {
 
 constexpr Time kMs = 1000, kS = 1'000'000;
-constexpr Time kDrainGrace =
-    250 * kMs;  // attempts may still reach a worker this long after its drain is known
+// Attempts may still reach a draining worker this long after its drain is known.
+constexpr Time kDrainGrace = 250 * kMs;
 
 // A checked property does not hold; RapidCheck reports the text.
 struct PropertyViolation : std::runtime_error {
--- a/tests/settings/simulated_fleet_parts.h
+++ b/tests/settings/simulated_fleet_parts.h
@@ -12,8 +12,8 @@
 
 namespace marblehub::random_settings {
 
-inline constexpr double kMeanConnectionLife =
-    20e6;  // of a connection, in the mean: the shorter ones of both deployments
+// The mean duration of a connection, in microseconds.
+inline constexpr double kMeanConnectionLife = 20e6;
 
 // A client that keeps a connection until a given time and calls again when it is refused or interrupted.
 struct SimulatedFleet::Client {
--- a/tests/settings/simulated_workers.cpp
+++ b/tests/settings/simulated_workers.cpp
@@ -7,8 +7,7 @@
 
 namespace marblehub::random_settings {
 
-// ---- Load and connections of workers
-// -------------------------------------------------------------------------------------
+// ---- Load and connections of workers ------------------------------------------------------------
 
 double SimulatedFleet::load_level(const Worker& w) const {
   double effective_capacity =
@@ -103,8 +102,7 @@
   send_event(b, event);
 }
 
-// ---- Failures and endpoint list changes
-// ------------------------------------------------------------------------------------
+// ---- Failures and endpoint list changes ---------------------------------------------------------
 
 void SimulatedFleet::set_errors(bool on, bool probes_too) {
   errors_ = on, errors_on_probes_ = probes_too;
