--- a/src/model/fleet.cpp
+++ b/src/model/fleet.cpp
@@ -149,6 +149,7 @@
     }
   }
 
+  // Merges the samples of the workers into one snapshot of the fleet per sampling time.
   std::vector<Result::Snapshot> snapshots(const std::vector<Time>& move_times) const {
     std::vector<Result::Snapshot> all;
     std::size_t count = workers_.front()->samples().size();
@@ -260,6 +261,7 @@
     return r;
   }
 
+  // Throws config::DecodeError if the expectation names no statistic.
   void check_expectation(const Expectation& e, Result& r) const {
     double found = 0;
     auto it = r.statistics.find(e.statistic);
--- a/src/model/html_report.cpp
+++ b/src/model/html_report.cpp
@@ -39,6 +39,7 @@
 </body></html>
 )";
 
+// Reads the plotted value of a snapshot.
 using Getter = double (*)(const Result::Snapshot&);
 
 // The mean over the seeds at each snapshot.
@@ -53,6 +54,7 @@
   return points;
 }
 
+// A line plot over time as SVG, one line per variant.
 std::string plot(const std::vector<Variant>& variants, Getter getter) {
   double max_y = 0, end = 1;
   std::vector<std::vector<std::pair<double, double>>> lines;
@@ -82,6 +84,7 @@
   return svg + "</svg>";
 }
 
+// The rows of the table of statistics.
 data rows(const std::vector<Variant>& variants, const std::vector<std::string>& statistics) {
   data all{data::type::list};
   for (const std::string& name : statistics) {
@@ -106,6 +109,7 @@
   return all;
 }
 
+// For each expectation and variant, the number of seeds in which it holds.
 data verdicts(const std::vector<Variant>& variants) {
   data all{data::type::list};
   for (const Variant& variant : variants)
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -59,16 +59,16 @@
     bool established = false;
   };
 
-  void advance(Time now);  // brings backlog and statistics up to date
-  double slow_start(Time now) const;
+  void advance(Time now);              // brings backlog and statistics up to date
+  double slow_start(Time now) const;   // share of the full capacity that is available
   double capacity(Time now) const;     // microseconds of work per second
   double demand(Time now) const;       // work per second of established connections and their groups
   double queue_wait(Time now) const;   // seconds until new work is started
   Time message_delay(Time now) const;  // until a message is answered
-  double load(Time now) const;
+  double load(Time now) const;         // as the worker would report it
   void add(std::uint64_t key, float load, std::uint32_t group);
   void remove(std::uint64_t key);
-  void mark_established(Connection& connection);
+  void mark_established(Connection& connection);  // called once per connection
 
   const Scenario& scenario_;
   const WorkerKind& kind_;
@@ -85,8 +85,7 @@
   std::unordered_map<std::uint64_t, Connection> connections_;
   std::size_t established_count_ = 0;
   std::unordered_map<std::uint32_t, int> groups_;
-  std::array<std::pair<Time, double>, 32>
-      load_history_{};  // a ring of recent loads, since reports are delayed
+  std::array<std::pair<Time, double>, 32> load_history_{};  // ring buffer, since reports are delayed
   std::size_t history_index_ = 0;
   std::vector<Sample> samples_;
   Statistics statistics_;
--- a/tests/model_sockets_test.cpp
+++ b/tests/model_sockets_test.cpp
@@ -119,6 +119,7 @@
   int ids = 0, moves = 0, refusals = 0;
 };
 
+// The same scenario for the simulation.
 const std::string kSimulated = R"(
 name = sockets
 seconds = 110
