--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -16,9 +16,9 @@
 std::vector<std::unique_ptr<PolicyFixture>> fleet(Settings s = PolicyFixture::settings(),
                                                   int balancers = kBalancers) {
   std::vector<std::unique_ptr<PolicyFixture>> all;
-  for (int me = 0; me < balancers; ++me) {
-    s.balancers = balancers, s.balancer_index = me;
-    all.push_back(std::make_unique<PolicyFixture>(s, 1000 + static_cast<std::uint64_t>(me)));
+  for (int index = 0; index < balancers; ++index) {
+    s.balancers = balancers, s.balancer_index = index;
+    all.push_back(std::make_unique<PolicyFixture>(s, 1000 + static_cast<std::uint64_t>(index)));
   }
   return all;
 }
@@ -260,9 +260,9 @@
   constexpr Time kOutage = 20'000'000;
   for (std::uint64_t seed = 0; seed < 5; ++seed) {
     calls.clear();
-    for (int me = 0; me < kBalancers; ++me) {
-      s.balancers = kBalancers, s.balancer_index = me;
-      PolicyFixture b(s, seed * 1000 + static_cast<std::uint64_t>(me));
+    for (int index = 0; index < kBalancers; ++index) {
+      s.balancers = kBalancers, s.balancer_index = index;
+      PolicyFixture b(s, seed * 1000 + static_cast<std::uint64_t>(index));
       b.list(EndpointListKind::cached, twelve_workers());
       bool list_received = false;
       for (std::size_t answered = 0; b.now < kOutage + 10'000'000 && !list_received;) {
