--- a/bench/fleet_routes.cpp
+++ b/bench/fleet_routes.cpp
@@ -42,14 +42,14 @@
 
 double ms(Time t) { return static_cast<double>(t) / 1e3; }
 
-void measure(int members, int seeds, Time settle) {
+void measure(int members, int seeds, Time warm_up) {
   std::vector<Time> durations, spread;
   double messages = 0, bytes = 0, idle = 0, record = 0;
   int missed = 0;
   const auto began = std::chrono::steady_clock::now();
   for (int seed = 1; seed <= seeds; ++seed) {
     Fleet fleet(members, static_cast<std::uint64_t>(seed));
-    fleet.run(settle, 2 * kMillisecond);
+    fleet.run(warm_up, 2 * kMillisecond);
     const std::uint64_t before = messages_of(fleet);
     fleet.run(2 * kSecond, 2 * kMillisecond);
     idle += static_cast<double>(messages_of(fleet) - before);
--- a/tests/fleet/routes/activation_test.cpp
+++ b/tests/fleet/routes/activation_test.cpp
@@ -184,14 +184,14 @@
 
 TEST_CASE("a version aborted and proposed again in the same update is answered again") {
   ActivatedNetwork w;
-  auto say = [&, number = std::uint64_t{0}](Body body) mutable {
+  auto propose = [&, number = std::uint64_t{0}](Body body) mutable {
     w.record.append({{"by-hand", 1, ++number}, std::move(body)});
   };
-  say(ProposeRoutes{2, table(2), {"m7", "ghost"}, w.record.now});
+  propose(ProposeRoutes{2, table(2), {"m7", "ghost"}, w.record.now});
   w.until([&] { return w.routes().waited_for == std::set<std::string>{"ghost"}; });
   w.record.followers.erase("m7");
-  say(AbortRoutes{2, "by hand"});
-  say(ProposeRoutes{2, table(2), {"m7"}, w.record.now});
+  propose(AbortRoutes{2, "by hand"});
+  propose(ProposeRoutes{2, table(2), {"m7"}, w.record.now});
   w.until([&] { return w.routes().waited_for == std::set<std::string>{"m7"}; });
   w.record.followers.insert("m7");
   w.until([&] { return w.routes().staged == 2 && w.routes().waited_for.empty(); });
--- a/tests/fleet/routes/fake_record.cpp
+++ b/tests/fleet/routes/fake_record.cpp
@@ -48,7 +48,7 @@
     at(now + between(min_delay, max_delay), [=, this] {
       if (!can_reach(from, to)) return;
       arrive(to, [=, this] {
-        heard(to, from, sent_at);
+        on_message(to, from, sent_at);
         act();
       });
     });
--- a/tests/fleet/routes/fake_record.h
+++ b/tests/fleet/routes/fake_record.h
@@ -19,7 +19,7 @@
   std::function<bool(const std::string&)> awake = [](const std::string&) { return true; };
   std::function<bool(const std::string&, const std::string&)> can_reach = [](auto&, auto&) { return true; };
   std::function<Time(const std::string&)> clock_of = [this](const std::string&) { return now; };
-  std::function<void(const std::string&, const std::string&, Time)> heard = [](auto&, auto&, Time) {};
+  std::function<void(const std::string&, const std::string&, Time)> on_message = [](auto&, auto&, Time) {};
   // Suspended: messages are delivered once the member is resumed.
   std::function<bool(const std::string&)> asleep = [](const std::string&) { return false; };
   double loss = 0, duplicate_rate = 0;
--- a/tests/fleet/routes/routes_network.h
+++ b/tests/fleet/routes/routes_network.h
@@ -65,7 +65,7 @@
       return members.at(a).side == members.at(b).side;
     };
     record.clock_of = [this](const std::string& m) { return record.now + members.at(m).offset; };
-    record.heard = [this](const std::string& to, const std::string& from, Time sent_at) {
+    record.on_message = [this](const std::string& to, const std::string& from, Time sent_at) {
       Balancer& b = members.at(to);
       b.routes->observe_clock(clock(b), from, sent_at);
       b.due = 0;
