--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -240,7 +240,7 @@
   send_and_close("ERR\r\n", Stream::finish_briefly);
 }
 
-// After a stall of the process the request may lie unread in the socket.
+// After a stall of the process the request may be unread in the socket.
 void ClientLink::on_request_timeout() {
   stream_->read_now();
   if (!stream_ || request_received_) return;
@@ -249,7 +249,7 @@
 }
 
 void ClientLink::read_request_or_close() {
-  if (stream_ && !request_received_) stream_->read_now();  // the request may lie unread in the socket
+  if (stream_ && !request_received_) stream_->read_now();  // the request may be unread in the socket
   if (stream_ && !request_received_) send_and_close("BUSY\r\n");
 }
 
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -46,7 +46,7 @@
   CHECK(d.last_worker.size() == 1);
 }
 
-TEST_CASE("an attempt that was not begun counts as over for the module once its client's end is read") {
+TEST_CASE("an attempt that was not begun counts as over for the policy once its client's end is read") {
   LeavingClient d(PolicyFixture::settings(), 1);
   d.exhaust_attempts();
   d.client_connected = false;
