--- a/src/quic/flow.h
+++ b/src/quic/flow.h
@@ -97,13 +97,13 @@
   // State that is needed until the connection is established, or until its CONNECTION_CLOSE expires.
   struct HandshakeState {
     std::vector<std::string> flight;  // the client's first datagrams, sent in each attempt
-    ConnectionId
-        initial_keys_id;       // the id that its Initial keys are derived from; a worker's Retry changes it
+    // The id that its Initial keys are derived from; a worker's Retry changes it.
+    ConnectionId initial_keys_id;
     std::string close_packet;  // sent to a client whose call has failed
   };
   std::unique_ptr<HandshakeState> handshake_state;
-  std::unique_ptr<ConnectionId>
-      original_destination;  // the destination id of the first Initial, where a Retry replaced it
+  // The destination id of the first Initial, where a Retry replaced it.
+  std::unique_ptr<ConnectionId> original_destination;
   std::uint32_t version = kVersion1;
   Endpoint client;
   core::Exchange* exchange = nullptr;
