--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -97,7 +97,8 @@
 
  private:
   friend class Exchange;
-  enum class Answer { overload, failed };  // final answers other than success
+  /// Final answers to a call other than success.
+  enum class Answer { overload, failed };
 
   // ---- Called by exchanges.
   bool may_begin(const std::string& worker, const std::string& address) const;
--- a/src/core/exchange.h
+++ b/src/core/exchange.h
@@ -73,6 +73,7 @@
 
  private:
   friend class Dispatcher;
+  /// Waiting for a worker to answer, established at a worker, or ended.
   enum class State { waiting, established, over };
 
   void answer_overload(Time pause);
--- a/src/core/message_monitor.h
+++ b/src/core/message_monitor.h
@@ -58,7 +58,8 @@
  private:
   static constexpr Time kNotSlow = -1;
 
-  struct WorkerLatency {         // of messages at one worker
+  /// The slow messages at one worker and whether they were reported to the policy.
+  struct WorkerLatency {
     Time slow_since = kNotSlow;  // first message of the current series of slow ones
     Time slow_seen_at = 0;       // last message of the series
     Time reported_at = 0;
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -49,6 +49,7 @@
   }
 
  private:
+  /// Orders the queue so that the earliest timer is on top.
   struct Later {
     bool operator()(const Timer& one, const Timer& other) const { return one.when > other.when; }
   };
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -91,6 +91,7 @@
 
  private:
   struct State;
+  /// Deletes the state, whose type is incomplete here.
   struct Release {
     void operator()(State* state) const;
   };
--- a/src/fleet/routes/routes.h
+++ b/src/fleet/routes/routes.h
@@ -116,6 +116,7 @@
 
  private:
   struct State;
+  /// Deletes the state, whose type is incomplete here.
   struct Release {
     void operator()(State* state) const;
   };
--- a/src/model/scenario.h
+++ b/src/model/scenario.h
@@ -24,6 +24,7 @@
 
 /// A fault or an operator action at a fixed time (`at` lines of the file).
 struct ScheduledEvent {
+  /// The fault or action; `drop` and `move` apply to connections, the others to workers or balancers.
   enum class EventType { drain, stop, hang, slow, kill_balancer, drop, move };
   EventType type = EventType::drain;
   Time at = 0, duration = 0;
@@ -34,6 +35,7 @@
 
 /// A bound on a statistic of the run, or on a column of the snapshot at a time (`expect` lines).
 struct Expectation {
+  /// How the statistic must compare with `value`.
   enum class Comparison { below, above, at_most, at_least, exactly };
   std::string text, statistic;
   Time at = -1;  // -1: the whole run
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -77,6 +77,7 @@
   static void end(std::unique_ptr<Stream> stream, CloseKind ending);  ///< finish or reset
 
  private:
+  /// The state of the connection; idle: not connected yet.
   enum class State { idle, connecting, open, closed };
 
   void on_io(int events);
--- a/tests/settings/random_deployment.h
+++ b/tests/settings/random_deployment.h
@@ -134,6 +134,7 @@
 }  // namespace marblehub::random_settings
 
 namespace rc {
+/// Generates deployments for RapidCheck: random ones, and the two fixed ones with the seed alone random.
 template <>
 struct Arbitrary<marblehub::random_settings::Deployment> {
   static Gen<marblehub::random_settings::Deployment> arbitrary() {
