--- a/tools/ci/check_sources.py
+++ b/tools/ci/check_sources.py
@@ -1,10 +1,13 @@
 #!/usr/bin/env python3
-"""Checks the sources tracked by git: the length of files, and that includes follow the layering of src/.
+"""Checks the sources tracked by git: the length of files, that includes follow the layering of src/, and that
+each type of a header is documented.
 
 usage: check_sources.py [ROOT]   the repository's root; by default the repository of this file
 
 Prints each finding as `file: description` and exits with 1 if there is any. Files listed in large_files.txt next to
 this script (`path | reason`, one per line) may exceed the limit; listed files that do not exceed it are findings too.
+Every class, struct, enum and union that a header defines needs a comment on the line above its definition; lines of
+`template <...>` and of attributes may stand between. Forward declarations and anonymous types need none.
 """
 
 import pathlib
@@ -45,6 +48,24 @@
 
 INCLUDE = re.compile(r'^\s*#\s*include\s*[<"](?P<path>[^>"]+)[>"]')
 
+# Comments, raw strings, strings and characters; the digits are matched for their separators (1'000).
+TEXT = re.compile(
+    r'//[^\n]*|/\*.*?\*/|R"(?P<mark>[^()\s\\]*)\(.*?\)(?P=mark)"|"(?:\\.|[^"\\\n])*"'
+    r"|\b\d[\w.']*|'(?:\\.|[^'\\\n])+'",
+    re.DOTALL,
+)
+# The head of a declaration up to the `{` of the definition of a type; an upper-case macro may precede the name.
+ATTRIBUTE = r"(?:\[\[.*?\]\]|alignas\s*\([^;{}]*?\)|__attribute__\s*\(\(.*?\)\))\s*"
+TYPE = re.compile(
+    r"(?<![\w<,])(?:\b(?:typedef|static|inline|constexpr|const)\s+)*"
+    rf"\b(?:enum\s+class|enum\s+struct|enum|class|struct|union)\b\s*(?:{ATTRIBUTE})*"
+    r"(?:[A-Z][A-Z0-9_]*\s+)?(?P<name>[A-Za-z_]\w*(?:\s*<[^;{}]*?>)?(?:\s*::\s*[A-Za-z_]\w*)*)"
+    r"(?:\s*<[^;{}()]*>)?(?:\s+final)?\s*(?::(?!:)[^;{}]*)?\{",
+    re.DOTALL,
+)
+# What may stand between the comment and the type: attributes and the heads of templates.
+BETWEEN = re.compile(rf"(?:\btemplate\s*<[^;{{}}]*>\s*(?:requires[^;{{}}]*)?|{ATTRIBUTE})+\Z", re.DOTALL)
+
 
 def tracked_sources(root):
     output = subprocess.run(
@@ -105,10 +126,32 @@
                 yield f"{path}:{number}: {module} may not include {found['path']}"
 
 
+def blanked(found):
+    """Spaces for the text of a match, with its line ends; a number stays."""
+    return found[0] if found[0][0].isdigit() else re.sub(r"[^\n]", " ", found[0])
+
+
+def type_findings(root, sources):
+    for path in sources:
+        if not path.endswith(".h"):
+            continue
+        text = (root / path).read_text()
+        code = TEXT.sub(blanked, text)  # of the same length as the text
+        lines = text.splitlines()
+        for found in TYPE.finditer(code):
+            start = found.start()
+            between = BETWEEN.search(code, max(code.rfind(end, 0, start) for end in ";{}") + 1, start)
+            first = code.count("\n", 0, between.start() if between else start)
+            above = lines[first - 1].strip() if first else ""
+            if not above.startswith("//") and not above.endswith("*/"):
+                name = re.sub(r"\s*<.*", "", found["name"], flags=re.DOTALL)
+                yield f"{path}:{code.count(chr(10), 0, start) + 1}: {name} has no doc comment"
+
+
 def main(arguments):
     root = pathlib.Path(arguments[0]) if arguments else pathlib.Path(__file__).resolve().parents[2]
     sources = tracked_sources(root)
-    findings = [*length_findings(root, sources), *include_findings(root, sources)]
+    findings = [*length_findings(root, sources), *include_findings(root, sources), *type_findings(root, sources)]
     for finding in findings:
         print(finding)
     return 1 if findings else 0
