--- a/src/core/call_gate.h
+++ b/src/core/call_gate.h
@@ -29,6 +29,7 @@
   virtual Decision admit(std::uint64_t id, const Call& call) = 0;
   virtual void call_established(std::uint64_t id) = 0;
   virtual void call_ended(std::uint64_t id) = 0;  // may be called with an unknown id
+  /// Receives each list of service discovery, or changes to one, that arrives after the start.
   virtual void worker_list_updated(const config::WorkerList& list) = 0;
 
   /// The number of balancers that share the fleet's budgets, polled five times a second; 0: use the settings.
@@ -40,6 +41,7 @@
   /// Whether a new call like this one could be placed at the worker now. Answers change only when
   /// placement_version() increases; while that is 0, the answer is always true.
   virtual bool placement_allowed(const Call& call, const std::string& worker) = 0;
+  /// Increases when placement_allowed() may answer differently; always 0: every worker is allowed.
   virtual std::uint64_t placement_version() = 0;
 };
 
--- a/src/core/connection_observer.h
+++ b/src/core/connection_observer.h
@@ -22,6 +22,7 @@
   virtual void connection_ended(std::uint64_t id) = 0;    // for any reason; the id may be unknown
   virtual void worker_load_reported(const std::string& worker,
                                     double load) = 0;  // as a share of its capacity
+  /// A full list of service discovery, or changes to one.
   virtual void worker_list_updated(const config::WorkerList& list) = 0;
   virtual void call_answered(bool refused) = 0;  // with a final answer
   virtual void move_requested() = 0;             // of any client, for any reason
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -43,12 +43,16 @@
   Exchange& adopt(Call call, ClientSide& client, WorkerSide& workers, const std::string& worker,
                   std::unique_ptr<Attempt> attempt, bool history_known = false);
 
+  /// Reports the end of a probe. `rtt` is in microseconds; `report` holds the load, if the worker sent it.
   void probe_result(const std::string& worker, Time rtt, Outcome outcome, const LoadReport& report);
+  /// Reports an answer of service discovery: a full list, or changes to the last one.
   void list_received(const config::WorkerList& list);
+  /// Reports that a request to service discovery has failed.
   void list_failed();
 
   // ---- Used by the rebalancing planner.
 
+  /// `observer` is not owned; it must exist as long as the dispatcher is used.
   void set_connection_observer(ConnectionObserver& observer) { connection_observer_ = &observer; }
 
   /// Requests the client of an established connection to move. Returns false if there is no such connection
--- a/src/core/exchange.h
+++ b/src/core/exchange.h
@@ -53,7 +53,9 @@
   bool stalled_inside_message() const;
 
   // ---- Called by the client's side, which the exchange does not use after client_left.
+  /// Forwards bytes to the worker; ignored unless the connection is established.
   void client_sent(const StreamChunk& chunk);
+  /// The client has closed its connection; the worker's side is closed in the same way.
   void client_left(CloseKind close_kind);
   void client_blocked(bool on);  // whether the client's send buffer is full
 
@@ -64,7 +66,9 @@
   bool may_begin() const;
   /// The worker accepted the call; `receipt` is its answer, forwarded to the client.
   void worker_established(std::string_view receipt);
+  /// Forwards bytes to the client, then carries out a pending move if they end at a message boundary.
   void worker_sent(const StreamChunk& chunk);
+  /// The worker has reported the load of this connection: work per second, in microseconds.
   void worker_load(double load);
   void worker_blocked(bool on);  // whether the worker's send buffer is full
   /// The attempt or the connection has ended. `error_text` is the worker's error message, if any.
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -44,14 +44,14 @@
  public:
   virtual ~ClientSide() = default;
   // The answer: exactly one of these three is called, unless the client has left.
-  virtual void established(std::string_view receipt) = 0;
-  virtual void overload_reply(Time pause) = 0;
+  virtual void established(std::string_view receipt) = 0;  // the worker's answer, for the client
+  virtual void overload_reply(Time pause) = 0;  // after which to retry, in microseconds; 0: unspecified
   virtual void failed(std::string_view error_text) = 0;  // the worker's error message, or empty
   /// Whether the client is still connected. Checks the connection itself, as its end may not have been read
   /// yet. True if that cannot be determined.
   virtual bool is_connected() const { return true; }
   // Called while the connection is established.
-  virtual void deliver(std::string_view bytes) = 0;
+  virtual void deliver(std::string_view bytes) = 0;  // sends the worker's bytes to the client
   virtual void hold(bool on) = 0;  // stops or resumes reading from the client: the worker is blocked
   virtual void redirect() = 0;     // requests the client to reconnect, and closes
   virtual void ended(CloseKind close_kind) = 0;  // the worker's side has closed
@@ -61,9 +61,9 @@
 class Attempt {
  public:
   virtual ~Attempt() = default;
-  virtual void deliver(std::string_view bytes) = 0;
-  virtual void hold(bool on) = 0;                 // stops or resumes reading from the worker
-  virtual void finish(CloseKind close_kind) = 0;  // the client's side has closed; destroyed right after
+  virtual void deliver(std::string_view bytes) = 0;  // sends the client's bytes to the worker
+  virtual void hold(bool on) = 0;                    // stops or resumes reading from the worker
+  virtual void finish(CloseKind close_kind) = 0;     // the client's side has closed; destroyed right after
   /// Whether a time-out counts as a failure of the worker. False before the call has been sent, and for calls
   /// that may be forged: a flood of those would otherwise mark every worker as failed.
   virtual bool timeout_blames_worker() const { return true; }
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -25,13 +25,17 @@
 /// Passes inputs to the components and changes of one component on to the others.
 class Node {
  public:
+  /// Throws StorageError if the disk is corrupted, and what Journal::load throws.
   Node(NodeOptions options, Time now);
   /// Reports Envelope::sent_at of each authenticated message, to be called before `received`.
   void observe_clock(Time now, const std::string& from, Time sent_at);
+  /// Handles an authenticated message of the member `from`.
   void received(Time now, const std::string& from, Component component, std::string_view body,
                 Transport transport, Outbox& out);
+  /// Runs the timers of all components; to be called at next_due.
   void tick(Time now, Outbox& out);
   void leave(Time now, Outbox& out);  ///< announces that the member leaves the fleet and returns its slices
+  /// When to call tick next.
   Time next_due() const;
 
   View& view() { return *view_; }
--- a/src/fleet/record/checked_flatbuffer.h
+++ b/src/fleet/record/checked_flatbuffer.h
@@ -10,7 +10,7 @@
 
 namespace marblehub::fleet {
 
-/// 64 bits.
+/// The 64-bit FNV-1a hash of the bytes.
 inline std::uint64_t fnv1a_hash(std::string_view bytes) {
   std::uint64_t hash = 14695981039346656037ULL;
   for (unsigned char byte : bytes) hash = (hash ^ byte) * 1099511628211ULL;
--- a/src/fleet/record/log.h
+++ b/src/fleet/record/log.h
@@ -26,6 +26,7 @@
   std::uint64_t last_term() const { return *term_at(last()); }
   /// None if the index is below `base` or after the last entry.
   std::optional<std::uint64_t> term_at(std::uint64_t index) const;
+  /// Requires base() < index <= last().
   const Entry& at(std::uint64_t index) const { return entries_[index - base_ - 1]; }
   /// Appends the entries that the log does not have, replacing all conflicting ones. Returns false, without a
   /// change, if the disk fails or an entry is not a valid command.
@@ -38,8 +39,10 @@
   std::uint64_t snapshot_term() const { return snapshot_term_; }
   const std::string& snapshot() const { return snapshot_; }
   /// Replaces the entries up to `index` by a snapshot. The newest of them stay in memory for slow followers.
+  /// Returns false, without a change, if the disk fails.
   bool compact(std::uint64_t index, std::string ledger);
   /// Takes over a received snapshot. Entries after it stay only if the log contains its last entry.
+  /// Returns false, without a change, if the disk fails.
   bool install(std::uint64_t index, std::uint64_t term, std::string ledger);
 
  private:
--- a/src/fleet/record/record.h
+++ b/src/fleet/record/record.h
@@ -73,8 +73,11 @@
 
   /// Sets the live members; to be called whenever the view changes.
   void update_members(Time now, const std::vector<std::string>& alive, Outbox& out);
+  /// Handles an authenticated message of the member `from`. A body that cannot be decoded changes nothing.
   void received(Time now, const std::string& from, std::string_view body, Outbox& out);
+  /// Runs the timers; to be called at next_due.
   void tick(Time now, Outbox& out);
+  /// When to call tick next.
   Time next_due() const;
 
   /// Submits a command of this balancer. It is sent to the leader until it is applied; its effect is seen in
--- a/src/fleet/record/state.h
+++ b/src/fleet/record/state.h
@@ -25,7 +25,8 @@
   /// Asks for entries after index, or heartbeats newer than term and heartbeat: at first, where something is
   /// missing, and every 40 heartbeat intervals. A learner that sends none for 50 intervals is removed.
   kLearnRequest,
-  /// Committed entries, commit, lease; sent when there is news, and a grant at every fifth heartbeat.
+  /// Committed entries, commit, lease; sent when there are new entries or another activation, and a grant at
+  /// every fifth heartbeat.
   kLearnUpdate,
   kLearnRedirect,  ///< the member serves no more learners or is out of date; names: members to try instead
   kRejoinRequest,  ///< a voter after its start, or an excluded one: its index and index_term; flag: excluded
--- a/src/fleet/routes/driver.h
+++ b/src/fleet/routes/driver.h
@@ -21,6 +21,7 @@
   void update_workers(const std::vector<ListedWorker>& listed) { listed_ = listed, listed_known_ = true; }
   /// Takes all steps that are due, by the record; `alive`: the live members of the view.
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
+  /// When to call step next.
   Time next_due() const { return due_; }
 
   std::vector<ListedWorker> const& listed() const { return listed_; }
--- a/src/fleet/routes/routes.h
+++ b/src/fleet/routes/routes.h
@@ -85,6 +85,7 @@
   /// Called after anything that may have changed the record, and at next_due. Accepts or refuses a staged
   /// version, drives an activation proposed here, and as the leader aborts one that has timed out.
   void step(Time now, Record& record, const std::vector<std::string>& alive, Outbox& out);
+  /// When to call step next.
   Time next_due() const;
 
   /// O(1). The lease's end and the activation time are compared with `now` and not kept by a timer, so a
--- a/src/fleet/wallet/wallet.h
+++ b/src/fleet/wallet/wallet.h
@@ -72,6 +72,7 @@
 /// be null. Not thread-safe.
 class Wallets {
  public:
+  /// Throws what Journal::load throws.
   Wallets(const Settings& fleet, WalletSettings settings, Journal* journal, std::uint64_t incarnation,
           std::uint64_t seed, Time now);
 
@@ -91,6 +92,7 @@
   void return_all(Time now, RecordInterface& record, Outbox& out);
   bool all_returned() const;                      // no slice is left here
   void update_settings(WalletSettings settings);  // at SIGHUP, after check_deposits
+  /// When to call step next.
   Time next_due() const;
 
   bool paused(std::string_view tenant) const;  // nothing to spend here, and no slice to be granted
@@ -103,6 +105,7 @@
   struct Totals {
     std::int64_t paid = 0, balance = 0, in_slices = 0, spent = 0, held_back = 0, spent_here = 0;
   };
+  /// As last read from the record; all 0 for a tenant without a wallet.
   Totals totals(std::string_view tenant) const;
 
  private:
--- a/src/model/engine.h
+++ b/src/model/engine.h
@@ -129,6 +129,7 @@
 /// Runs the logical processes. It refers to them and does not own them.
 class Engine {
  public:
+  /// `lookahead`: the minimum delay of an event for another process, in microseconds.
   Engine(Time lookahead, int threads);
   ~Engine();
 
--- a/src/model/random.h
+++ b/src/model/random.h
@@ -34,6 +34,7 @@
         count_(count) {}
 
   std::uint32_t count() const { return count_; }
+  /// The next 64 random bits.
   std::uint64_t bits() {
     r123::Philox4x32::ctr_type at = {
         {count_++, purpose_, static_cast<std::uint32_t>(entity_), static_cast<std::uint32_t>(entity_ >> 32)}};
@@ -41,7 +42,9 @@
     return static_cast<std::uint64_t>(at[0]) << 32 | at[1];
   }
   double uniform() { return static_cast<double>(bits() >> 11) * 0x1p-53; }  // [0, 1)
+  /// Uniform in [low, high).
   double between(double low, double high) { return low + (high - low) * uniform(); }
+  /// Uniform in [0, n).
   std::uint64_t below(std::uint64_t n) {
     return static_cast<std::uint64_t>(uniform() * static_cast<double>(n));
   }
--- a/src/model/rules.h
+++ b/src/model/rules.h
@@ -36,6 +36,7 @@
 /// Counts the violations of each rule and keeps the first ones for the output.
 class RuleViolations {
  public:
+  /// Counts a violation; the first 20 are kept with their details.
   void record(Rule rule, Time when, const std::string& detail) {
     counts_[static_cast<std::size_t>(rule)] += 1;
     if (first_violations_.size() < 20) first_violations_.push_back({rule, when, detail});
@@ -46,6 +47,7 @@
     Time when;
     std::string detail;
   };
+  /// Adds the violations of another process.
   void add(const RuleViolations& other) {
     for (std::size_t i = 0; i < kRuleCount; ++i) counts_[i] += other.counts_[i];
     for (const Violation& violation : other.first_violations_)
--- a/src/model/study.h
+++ b/src/model/study.h
@@ -20,6 +20,7 @@
   /// Whether the interval excludes zero.
   bool significant() const { return n > 1 && (mean - half_width > 0 || mean + half_width < 0); }
 };
+/// The half-width is 0 for fewer than two values.
 Estimate estimate(const std::vector<double>& values);
 
 /// One run of a series.
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -134,7 +134,7 @@
   void handle(const Event& event) override;
   const std::vector<std::uint32_t>& calls() const { return calls_; }  // per interval of kSampleEvery
   long total_calls() const { return total_calls_; }
-  Time max_wait() const { return max_wait_; }
+  Time max_wait() const { return max_wait_; }  // longest wait of a call, in microseconds
 
  private:
   const Scenario& scenario_;
--- a/src/net/descriptor_budget.h
+++ b/src/net/descriptor_budget.h
@@ -23,6 +23,7 @@
   void set_limit(std::int64_t max_open);
 
   bool exhausted() const { return Fd::available() == 0; }
+  /// Whether a client may be accepted, if need be from the reserve for replies.
   bool may_accept() const { return Fd::available(kReplyReserve) > 0; }
   /// Whether at most an eighth of the limit is left; clients that have sent no request are then evicted.
   /// Lingering connections count as free, since they are closed when a descriptor is needed.
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -119,6 +119,7 @@
   }
   ~TimerWatch() { stop(); }
   TimerWatch(const TimerWatch&) = delete;
+  /// Starts the timer, or restarts it if it is active.
   void start(Time after);
   void stop() { ev_timer_stop(loop_.raw(), &watcher_); }
   bool active() const { return ev_is_active(&watcher_); }
--- a/src/net/worker_side.h
+++ b/src/net/worker_side.h
@@ -15,6 +15,7 @@
 /// Begins attempts: connects to a worker and forwards the call's request line to it.
 class WorkerSide final : public core::WorkerSide {
  public:
+  /// `connect_timeout` is in microseconds.
   WorkerSide(Loop& loop, Time connect_timeout, metrics::Registry& metrics);
   std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& exchange, const std::string& worker,
                                                const std::string& address, Time wait) override;
@@ -33,6 +34,7 @@
   /// Called with the outcome of each probe; `rtt` in microseconds includes a connect.
   using Result = std::function<void(const std::string& worker, Time rtt, core::Outcome outcome,
                                     const core::LoadReport& report)>;
+  /// `connect_timeout` is in microseconds.
   Probes(Loop& loop, Time connect_timeout);
   ~Probes() override;
   void on_result(Result result) { result_ = std::move(result); }
--- a/src/quic/flow.h
+++ b/src/quic/flow.h
@@ -83,6 +83,7 @@
   std::unique_ptr<core::Attempt> begin_attempt(core::Exchange& to, const std::string& worker,
                                                const std::string& address, Time wait) override;
 
+  // Sends one move request to the worker, unless the limit of repetitions is reached.
   void request_move();
   // Whether so many more bytes may be sent to the client, which are then counted: at most three times the
   // bytes received until its address is validated (RFC 9000, 8.1).
--- a/src/quic/limits.h
+++ b/src/quic/limits.h
@@ -33,6 +33,7 @@
     roll(now);
     current_ += 1;
   }
+  /// The events a second at `now`.
   double rate(std::int64_t now) {
     roll(now);
     return current_ + previous_ * (1 - static_cast<double>(now - second_start_) / kSecond);
--- a/src/quic/worker_table.h
+++ b/src/quic/worker_table.h
@@ -25,7 +25,7 @@
   /// The reason why these configurations cannot replace the current ones, as one line; empty if they can. A
   /// rotation that is in use or retiring cannot get other contents, since ids of both would be ambiguous.
   std::string conflict(const std::vector<IdConfig>& next) const;
-  /// Replaces the current configurations; removed ones still decode for `retire` microseconds.
+  /// Replaces the current configurations; removed ones still decode for `retirement_period` microseconds.
   void replace(std::vector<IdConfig> next, Time now, Time retirement_period);
   /// Drops configurations whose retirement period is over; returns whether there were any.
   bool expire(Time now);
--- a/src/rebalance/move_limits.h
+++ b/src/rebalance/move_limits.h
@@ -18,9 +18,9 @@
   void record_move(Time now) { moves_.push_back(now); }
   /// A client set up a connection at this balancer, which costs a session store call.
   void record_setup(Time now) { setups_.push_back(now); }
-  /// A client was told to move, by the planner or otherwise; its reconnect will call the session store.
+  /// A client was requested to move, by the planner or otherwise; its reconnect will call the session store.
   void record_move_request(Time now) { expected_setups_.push_back(now); }
-  /// A client that was told to move has reconnected.
+  /// A client that was requested to move has reconnected.
   void record_return() {
     if (!expected_setups_.empty()) expected_setups_.pop_front();
   }
@@ -40,7 +40,7 @@
   const FleetConfig fleet_;
   std::deque<Time> moves_;            // times within the last minute, like the others
   std::deque<Time> setups_;           // at this balancer
-  std::deque<Time> expected_setups_;  // of clients told to move that have not reconnected yet
+  std::deque<Time> expected_setups_;  // of clients requested to move that have not reconnected yet
 };
 
 }  // namespace marblehub::rebalance
--- a/src/rebalance/planner.h
+++ b/src/rebalance/planner.h
@@ -55,7 +55,7 @@
   /// Replaces the list of connections at workers that their route does not (or no longer) allow. Ids that end
   /// later are skipped.
   void set_out_of_pool(std::vector<std::uint64_t> ids);
-  /// A client was told to move, by the planner or otherwise; its reconnect will call the session store.
+  /// A client was requested to move, by the planner or otherwise; its reconnect will call the session store.
   void move_requested(Time now) { limits_.record_move_request(now); }
   void set_paused(bool on) { paused_ = on; }
   bool paused() const { return paused_; }
