--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -18,10 +18,11 @@
   return value.dump();
 }
 
-constexpr int kMaxDepth = 32;  // bounds the recursion
+constexpr int kMaxNestingDepth = 32;  // of JSON values; bounds the recursion of flatten_value
 
+// Adds the pairs of `value` to `values`; their paths begin with `path`.
 void flatten_value(Values& values, const std::string& path, const json& value, int depth = 0) {
-  if (depth > kMaxDepth) throw DecodeError("nested too deep");
+  if (depth > kMaxNestingDepth) throw DecodeError("nested too deep");
   std::string prefix = path;
   if (!path.empty()) prefix += '.';
   if (value.is_object()) {
@@ -42,7 +43,7 @@
   }
 }
 
-// Returns an address after checking it, so that an invalid one is reported at load time.
+// Returns an IPv4 address with a port after checking it, so that an invalid one is reported at load time.
 const std::string& read_address(const Options& options, std::string_view key) {
   const std::string& text = options.text(key);
   if (!parse_address(text)) options.refuse(key, "a.b.c.d:port");
@@ -88,7 +89,7 @@
 }
 
 Options flatten(std::string_view text, std::string place) {
-  json document = json::parse(text, nullptr, false, true);
+  json document = json::parse(text, nullptr, false, true);  // no callback, no exceptions; ignores comments
   if (!document.is_object()) throw DecodeError(place + "expected a JSON object");
   Values values;
   try {
@@ -123,7 +124,8 @@
 WorkerList list_from(const Options& options) {
   using marblehub::policy::Health;
   WorkerList list;
-  constexpr std::int64_t latest_start = std::numeric_limits<std::int64_t>::max() / 1000;  // in microseconds
+  // Larger values overflow when converted to microseconds.
+  constexpr std::int64_t max_since_ms = std::numeric_limits<std::int64_t>::max() / 1000;
   list.index = options.number<std::int64_t>("index", 0);
   list.snapshot = options.flag("snapshot");
   auto count = options.number_or<std::size_t>("endpoints.count", 0, 0);
@@ -142,14 +144,15 @@
     entry.backend.cell = options.number_or<std::int64_t>(path + "group", -1, -1);
     entry.backend.scale = options.number_or<double>(path + "weight", 0, 1);
     auto since_ms = options.number_or<std::int64_t>(path + "since_ms", 0, 0);
-    if (since_ms > latest_start) options.refuse(path + "since_ms", "milliseconds since 1970");
+    if (since_ms > max_since_ms) options.refuse(path + "since_ms", "milliseconds since 1970");
     entry.backend.start_time = since_ms * 1000;
     list.workers.push_back(std::move(entry));
   }
   return list;
 }
 
-// The longest give_up_us of all classes. Longer and missing values count as 3 s, as they do for the platform.
+// The longest give_up_us of all classes. Longer and missing values count as 3 s, as they do for the platform
+// that runs the program, which sends SIGKILL some time after this deadline.
 static marblehub::policy::Time longest_deadline_from(const Options& settings) {
   constexpr double max_us = 3e6;
   double longest = 0;
@@ -161,27 +164,27 @@
   return static_cast<marblehub::policy::Time>(std::min(longest, max_us));
 }
 
-Startup startup_from(const Options& all) {
-  Startup s;
-  s.name = all.text("name");
-  s.listen = read_address(all, "listen");
-  s.registry = read_address(all, "discovery");
-  if (const std::string* seed = all.find("seed")) {
-    auto [end, error] = std::from_chars(seed->data(), seed->data() + seed->size(), s.seed, 16);
+Startup startup_from(const Options& options) {
+  Startup startup;
+  startup.name = options.text("name");
+  startup.listen = read_address(options, "listen");
+  startup.registry = read_address(options, "discovery");
+  if (const std::string* seed = options.find("seed")) {
+    auto [end, error] = std::from_chars(seed->data(), seed->data() + seed->size(), startup.seed, 16);
     if (error != std::errc() || end != seed->data() + seed->size())
-      all.refuse("seed", "a hexadecimal number");
+      options.refuse("seed", "a hexadecimal number");
   }
-  s.sockets = all.number_or<std::int64_t>("limits.sockets", 16, s.sockets);
-  if (all.find("known.snapshot")) s.known = list_from(sub_options(all, "known", "known: "));
-  Options settings = sub_options(all, "settings", "settings: ");
-  s.settings = settings_from(settings);
-  s.longest_deadline = longest_deadline_from(settings);
-  if (const std::string* file = all.find("quic")) s.quic_file = *file;
-  if (const std::string* file = all.find("remote_write")) s.remote_write_file = *file;
-  if (const std::string* file = all.find("rebalance")) s.rebalance_file = *file;
-  if (const std::string* file = all.find("fleet")) s.fleet_file = *file;
-  if (const std::string* file = all.find("log")) s.log_file = *file;
-  return s;
+  startup.sockets = options.number_or<std::int64_t>("limits.sockets", 16, startup.sockets);
+  if (options.find("known.snapshot")) startup.known = list_from(sub_options(options, "known", "known: "));
+  Options settings = sub_options(options, "settings", "settings: ");
+  startup.settings = settings_from(settings);
+  startup.longest_deadline = longest_deadline_from(settings);
+  if (const std::string* file = options.find("quic")) startup.quic_file = *file;
+  if (const std::string* file = options.find("remote_write")) startup.remote_write_file = *file;
+  if (const std::string* file = options.find("rebalance")) startup.rebalance_file = *file;
+  if (const std::string* file = options.find("fleet")) startup.fleet_file = *file;
+  if (const std::string* file = options.find("log")) startup.log_file = *file;
+  return startup;
 }
 
 LoadedStartup load_startup(const std::string& path) {
@@ -190,19 +193,20 @@
 }
 
 std::vector<std::string> needs_restart(const Values& in_force, const Values& reloaded) {
-  std::set<std::string> differ;
+  std::set<std::string> differing_keys;
   auto compare = [&](const Values& one, const Values& other) {
     for (const auto& [key, value] : one) {
-      // Applied at once, superseded by lists of the registry, or different at each start.
+      // discovery and limits.sockets are applied by a reload, lists of the registry supersede the known list,
+      // and the seed differs at each start.
       bool ignored =
           key == "discovery" || key == "limits.sockets" || key.starts_with("known.") || key == "seed";
       auto it = other.find(key);
-      if (!ignored && (it == other.end() || it->second != value)) differ.insert(key);
+      if (!ignored && (it == other.end() || it->second != value)) differing_keys.insert(key);
     }
   };
   compare(in_force, reloaded);
   compare(reloaded, in_force);
-  return {differ.begin(), differ.end()};
+  return {differing_keys.begin(), differing_keys.end()};
 }
 
 }  // namespace marblehub::config
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -43,34 +43,38 @@
   return value;
 }
 
-/// Values by path.
+/// The text of each value, by dotted path such as limits.max_attempts.
 using Values = std::map<std::string, std::string, std::less<>>;
 
 /// Path=value pairs and their source. Keeps track of the keys that are read. Functions that return a value
-/// throw DecodeError if it is invalid, or missing without a default.
+/// throw DecodeError if it is invalid, or missing without a default. `place`, as in "FILE: ", precedes each
+/// error message.
 class Options {
  public:
   Options(Values values, std::string place) : values_(std::move(values)), place_(std::move(place)) {}
-  /// A part of `parent`, in which the keys read here are marked as read too.
+  /// A part of `parent`, which must outlive it. A key that is read here is marked as read in `parent`
+  /// too, as `prefix` and key.
   Options(Values values, std::string place, const Options& parent, std::string prefix)
       : values_(std::move(values)), place_(std::move(place)), parent_(&parent), prefix_(std::move(prefix)) {}
 
-  /// Throws DecodeError for this key.
+  /// Throws DecodeError for this key. `expected` describes the valid values.
   [[noreturn]] void refuse(std::string_view key, std::string_view expected) const {
     throw DecodeError(place_, key, expected);
   }
-  /// Null if the key is missing.
+  /// The value, owned by this object; null if the key is missing.
   const std::string* find(std::string_view key) const {
     auto it = values_.find(key);
     if (it == values_.end()) return nullptr;
     mark_read(it->first);
     return &it->second;
   }
+  /// The value as written.
   const std::string& text(std::string_view key) const {
     const std::string* value = find(key);
     if (!value) refuse(key, "a value");
     return *value;
   }
+  /// A number, `min` or more.
   template <class Number>
   Number number(std::string_view key, Number min) const {
     std::optional<Number> value = parse_number<Number>(text(key));
@@ -87,6 +91,7 @@
     if (value > 1) refuse(key, "a share from 0 to 1");
     return value;
   }
+  /// True or false.
   bool flag(std::string_view key) const {
     const std::string& value = text(key);
     if (value != "true" && value != "false") refuse(key, "true or false");
@@ -114,6 +119,7 @@
   }
   /// The former keys that were read, with the present key of each.
   const Values& former_keys() const { return former_keys_; }
+  /// All pairs, whether read or not.
   const Values& values() const { return values_; }
   /// Keys that were not read, such as misspelt ones.
   std::vector<std::string> unread() const {
@@ -133,8 +139,9 @@
   std::string place_;
   const Options* parent_ = nullptr;
   std::string prefix_;
+  // Mutable, since a const lookup records its key.
   mutable std::set<std::string> read_;
-  mutable Values former_keys_;
+  mutable Values former_keys_;  // present keys by former keys
 };
 
 /// The policy's settings. Throws DecodeError.
