--- a/src/core/dispatcher_counters.cpp
+++ b/src/core/dispatcher_counters.cpp
@@ -5,16 +5,17 @@
 namespace marblehub::core {
 namespace {
 
-// By Outcome.
+// Names of metric labels and in the log, by Outcome.
 constexpr std::array<const char*, 8> kOutcomeNames = {"served",         "error", "full",      "timeout",
                                                       "connect_failed", "reset", "cancelled", "not_sent"};
 // By MoveReason.
 constexpr std::array<const char*, 8> kMoveReasonNames = {"draining", "down",    "overwhelmed", "late",
                                                          "silent",   "balance", "routes",      "restart"};
-// By RejectReason.
+// By RejectReason; `held` is RejectReason::expired.
 constexpr std::array<const char*, 3> kRejectReasonNames = {"admission", "held", "attempts_failed"};
 
-Counter& answers(Counters& counters, const char* answer) {
+// The counter of one kind of final answer.
+Counter& answer_counter(Counters& counters, const char* answer) {
   return counters.counter("marblehub_answers_total", "Final answers to clients", {{"answer", answer}});
 }
 
@@ -27,9 +28,9 @@
     : calls(counters.counter("marblehub_calls_total", "Calls taken from clients")),
       adopted(counters.counter("marblehub_adopted_total",
                                "Standing connections taken over from another balancer")),
-      served(answers(counters, "served")),
-      rejected(answers(counters, "overload")),
-      failed(answers(counters, "failed")),
+      served(answer_counter(counters, "served")),
+      rejected(answer_counter(counters, "overload")),
+      failed(answer_counter(counters, "failed")),
       clients_left(
           counters.counter("marblehub_clients_left_total", "Clients that left before they were answered")),
       deadline_answers(
@@ -55,7 +56,8 @@
   for (const char* name : kOutcomeNames)
     probe_results_.push_back(
         &counters.counter("marblehub_probe_results_total", "How probes ended", {{"outcome", name}}));
-  // These break down marblehub_moves_total and marblehub_answers_total.
+  // These break down marblehub_moves_total, and the policy's part of the `overload` answers in
+  // marblehub_answers_total.
   for (const char* name : kMoveReasonNames)
     move_reasons_.push_back(&counters.counter("marblehub_move_reasons_total", "Clients told to move, by why",
                                               {{"reason", name}}));
--- a/src/core/message_monitor.cpp
+++ b/src/core/message_monitor.cpp
@@ -10,13 +10,14 @@
 constexpr Time kMillisecond = 1000, kSecond = 1'000'000;
 // After a stall of the process: leaves time to read the input that arrived meanwhile.
 constexpr Time kCheckDelayAfterStall = 20 * kMillisecond;
-// A connection without answers must be moved within 7 s. Clients send every 2 s, so its last answer may be 2
-// s older than its first unanswered message, and a check may be late by one interval.
-constexpr Time kSilenceBound = 4500 * kMillisecond;
-constexpr Time kMaxStall = 700 * kMillisecond;    // slow messages cause no moves within this time
+// A connection must be moved within 7 s of its worker's last answer. Clients send every 2 s, so that answer
+// may be 2 s older than the first unanswered message, and a check may be late by kCheckInterval.
+constexpr Time kMaxUnansweredTime = 4500 * kMillisecond;
+// Messages that are slow for a shorter time may be due to a stall and cause no moves.
+constexpr Time kMinSlowDuration = 700 * kMillisecond;
 constexpr Time kSlowStreakTimeout = 5 * kSecond;  // a series of slow messages ends this long after the last
-constexpr Time kReportInterval = kSecond;
-constexpr Time kSlowDivisor = 3;  // delays above objective / kSlowDivisor are slow
+constexpr Time kMinReportInterval = kSecond;      // between reports of the same slow worker
+constexpr Time kSlowDivisor = 3;                  // a delay above objective_ / kSlowDivisor is slow
 
 }  // namespace
 
@@ -24,8 +25,8 @@
     : objective_(policy::shortest_message_objective(settings)), last_check_at_(now) {}
 
 MessageMonitor::Schedule MessageMonitor::schedule(Time now) {
-  Time since = now - std::exchange(last_check_at_, now);
-  postponed_ = since > 2 * kCheckInterval && !postponed_;
+  Time since_last_check = now - std::exchange(last_check_at_, now);
+  postponed_ = since_last_check > 2 * kCheckInterval && !postponed_;
   return {!postponed_, postponed_ ? kCheckDelayAfterStall : kCheckInterval};
 }
 
@@ -49,7 +50,7 @@
   }
   if (!exchange.awaits_answer()) return;
   Time waited = now - exchange.unanswered_since();
-  if (waited > kSilenceBound) {
+  if (waited > kMaxUnansweredTime) {
     if (!exchange.move_pending()) findings.newly_moved += 1;
     (exchange.stalled_inside_message() ? findings.stalled : findings.silent).push_back(exchange.id());
   } else if (waited > objective_) {
@@ -57,8 +58,9 @@
   }
 }
 
-// A single late message may result from a stall, for example of an overloaded host, that has ended by the
-// time of the report; moving clients would not help.
+// While slow messages are not confirmed, at most half the objective is reported: they may result from a
+// stall, for example of an overloaded host, that has ended by the time of the report, when moves would not
+// help.
 std::optional<Time> MessageMonitor::latency_update(const std::string& worker, Time delay, Time now) {
   WorkerLatency& latency = latencies_[worker];
   if (delay * kSlowDivisor <= objective_) {
@@ -71,9 +73,9 @@
   bool continues = latency.slow_since != kNotSlow && now - latency.slow_seen_at <= kSlowStreakTimeout;
   if (!continues) latency.slow_since = now;
   latency.slow_seen_at = now;
-  bool confirmed = now - latency.slow_since >= kMaxStall;
+  bool confirmed = now - latency.slow_since >= kMinSlowDuration;
   bool newly_confirmed = confirmed && !latency.confirmed;
-  if (!newly_confirmed && now - latency.reported_at < kReportInterval) return std::nullopt;
+  if (!newly_confirmed && now - latency.reported_at < kMinReportInterval) return std::nullopt;
   latency.reported = true;
   latency.confirmed = confirmed;
   latency.reported_at = now;
