--- a/conformance/peers/served_connection.cpp
+++ b/conformance/peers/served_connection.cpp
@@ -21,7 +21,7 @@
 
 ServedConnection::ServedConnection(Worker& worker, const ngtcp2_pkt_hd& hd, const Endpoint& client,
                                    const std::string& original, const std::optional<std::string>& retry)
-    : worker_(worker), first_(original), client_(client) {
+    : worker_(worker), original_id_(original), client_(client) {
   require(gnutls_init(&session_, GNUTLS_SERVER | GNUTLS_ENABLE_EARLY_DATA | GNUTLS_NO_AUTO_SEND_TICKET |
                                      GNUTLS_NO_END_OF_EARLY_DATA) == 0,
           "no TLS session");
@@ -59,7 +59,7 @@
   params.initial_max_data = 1 << 20;
   params.active_connection_id_limit = 3;  // ngtcp2 miscounts ids near its own limit of 8
   params.max_idle_timeout = 30 * NGTCP2_SECONDS;
-  params.original_dcid = cid_of(first_);
+  params.original_dcid = cid_of(original_id_);
   if (retry) {
     params.retry_scid_present = 1;
     params.retry_scid = cid_of(*retry);
@@ -89,7 +89,7 @@
   // Sent after the first flight, since the router accepts LINK only for an established connection.
   for (const std::string& id : std::exchange(unlinked_, {}))
     if (worker_.options.link_ids)
-      worker_.send_control(fmt::format("LINK {} {}", quic::hex(first_), quic::hex(id)), client_);
+      worker_.send_control(fmt::format("LINK {} {}", quic::hex(original_id_), quic::hex(id)), client_);
 }
 
 void ServedConnection::update_router(const Endpoint& router) {
@@ -100,11 +100,11 @@
 void ServedConnection::move() {
   if (closed_) return;
   close_with(kMoveCloseCode);
-  worker_.send_control("END " + quic::hex(first_), client_);
+  worker_.send_control("END " + quic::hex(original_id_), client_);
 }
 
 bool ServedConnection::has_id(std::string_view id) const {
-  return first_ == id || std::find(ids.begin(), ids.end(), id) != ids.end();
+  return original_id_ == id || std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
 void ServedConnection::transmit(const ngtcp2_path& path, std::string_view bytes) {
--- a/conformance/suites/zero_rtt.cpp
+++ b/conformance/suites/zero_rtt.cpp
@@ -1,4 +1,4 @@
-// 0-RTT before, after and coalesced with its Initial.
+// 0-RTT packets before, after, coalesced with and without the Initial of their connection.
 #include <algorithm>
 
 #include "suites/suites.h"
@@ -17,10 +17,12 @@
   Resumption ticket = *first.resumption();
   ClientOptions options;
   options.resume = &ticket;
-  auto run_case = [&](const char* section, const char* words,
-                      std::function<std::vector<std::string>(std::vector<std::string>)> order) {
+  // Opens a connection with early data. Its first flight is sent as the datagrams that `rearrange` makes of
+  // it.
+  auto run_case = [&](const char* section, const char* description,
+                      std::function<std::vector<std::string>(std::vector<std::string>)> rearrange) {
     Client& c = testbed.client(options);
-    std::string text = std::string("early ") + words;
+    std::string text = std::string("early ") + description;
     c.request(text);
     std::vector<std::string> flight;
     c.hop.tamper = [&](std::string bytes) {
@@ -28,12 +30,13 @@
       return std::vector<std::string>{};
     };
     c.step();
-    std::vector<std::string> out = order(flight);
-    c.hop.tamper = [&](std::string) { return out; };
+    std::vector<std::string> datagrams = rearrange(flight);
+    c.hop.tamper = [&](std::string) { return datagrams; };
+    // The hop replaces the empty datagram by the rearranged flight.
     c.hop.send("", testbed.router());
     c.hop.tamper = nullptr;
     bool served = testbed.run(2500, [&] { return c.all_answered_once() && c.handshaken(); });
-    report.check(section, words, served && testbed.worker(0).executed[text] == 1);
+    report.check(section, description, served && testbed.worker(0).executed[text] == 1);
   };
   // ngtcp2 sends one datagram with an Initial and 0-RTT; this splits them into separate datagrams.
   auto split_flight = [](const std::vector<std::string>& flight) {
@@ -47,6 +50,7 @@
         rest.remove_prefix(header->packet.size());
       }
     }
+    // A datagram with an Initial has at least 1200 bytes (RFC 9000, 14.1).
     initial.resize(std::max<std::size_t>(initial.size(), 1200), '\0');
     return std::pair(initial, early_data);
   };
@@ -65,8 +69,11 @@
   double calls = testbed.counter("marblehub_calls_total");
   Probe probe(testbed);
   std::string early_data = bare_initial(unroutable_id(), "source");
+  // Sets the packet type in the first byte to 0-RTT.
   early_data[0] = static_cast<char>((early_data[0] & 0xcf) | 0x10);
-  early_data.erase(5 + 1 + 10 + 1 + 6, 1);  // 0-RTT has no token
+  // Removes the token length, which 0-RTT packets lack. It follows the first byte and version (5), and two
+  // ids of 10 and 6 bytes with their lengths.
+  early_data.erase(5 + 1 + 10 + 1 + 6, 1);
   probe.send(early_data);
   report.check("RFC 9000, 5.2.2", "0-RTT without an Initial is no call and gets no answer",
                !probe.answer(700) && testbed.counter("marblehub_calls_total") == calls);
