--- a/tests/drain_grace_test.cpp
+++ b/tests/drain_grace_test.cpp
@@ -10,13 +10,15 @@
 
 constexpr Time kMillisecond = 1000;
 
+// `grace`: microseconds.
 Settings settings_with_grace(Time grace) {
   json document = settings();
   document["invariants"]["stop_sending_within_us"] = grace;
   return config::settings_from(config::flatten(document.dump(), ""));
 }
 
-config::WorkerList draining(const BackendEntry& worker) {
+// A full list with this worker only, which is draining.
+config::WorkerList draining_list(const BackendEntry& worker) {
   config::WorkerList list;
   list.workers.push_back({worker, "127.0.0.1:1"});
   list.workers.back().backend.health = Health::draining;
@@ -32,22 +34,22 @@
 }  // namespace
 
 TEST_CASE("no attempt begins at a draining worker after the grace period of the settings") {
-  for (Time grace : {0, 50, 120, 250, 500}) {
-    INFO("grace of " << grace << " ms");
-    DispatcherFixture d(settings_with_grace(grace * kMillisecond), 1);
+  for (Time grace_ms : {0, 50, 120, 250, 500}) {
+    INFO("grace of " << grace_ms << " ms");
+    DispatcherFixture d(settings_with_grace(grace_ms * kMillisecond), 1);
     core::Exchange& exchange = d.dispatcher->accept_call(call(), d, d);
     d.run(100 * kMillisecond);
     REQUIRE(d.last_worker.size() == 1);
     REQUIRE(exchange.may_begin());
     Time reported_at = d.at;
-    d.dispatcher->list_received(draining(test::workers(1).front()));
-    Time last = -1;  // latest time in milliseconds at which an attempt could begin
-    for (Time waited = 0; waited <= 1000; waited += 10) {
-      d.at = reported_at + waited * kMillisecond;
-      if (exchange.may_begin()) last = waited;
+    d.dispatcher->list_received(draining_list(test::workers(1).front()));
+    Time last_ms = -1;  // latest time after the report at which an attempt could begin
+    for (Time waited_ms = 0; waited_ms <= 1000; waited_ms += 10) {
+      d.at = reported_at + waited_ms * kMillisecond;
+      if (exchange.may_begin()) last_ms = waited_ms;
     }
-    CHECK(last < grace);
-    CHECK(last >= grace - 120);
+    CHECK(last_ms < grace_ms);
+    CHECK(last_ms >= grace_ms - 120);  // the dispatcher's margin of 100 ms, the step of 10 ms and a tolerance
   }
 }
 
--- a/tests/policy/discovery_test.cpp
+++ b/tests/policy/discovery_test.cpp
@@ -32,19 +32,19 @@
   s.pull_endpoints = true;
   BalancerHarness harness(s);
   harness.send_list({backend_entry(0)}, EndpointListKind::cached);
-  Time last = 0, longest = 0;
+  Time last_request_at = 0, longest_interval = 0;
   for (int i = 0; i < 400; ++i) {
-    int before = harness.list_requests;
+    int requests_before = harness.list_requests;
     harness.advance(100 * kMs);
-    if (harness.list_requests == before) continue;
+    if (harness.list_requests == requests_before) continue;
     harness.send(EndpointListEvent{EndpointListKind::failed, nullptr});
-    if (last > 0) longest = std::max(longest, harness.now - last);
-    last = harness.now;
+    if (last_request_at > 0) longest_interval = std::max(longest_interval, harness.now - last_request_at);
+    last_request_at = harness.now;
   }
   EXPECT_GE(harness.list_requests, 10);
   EXPECT_LE(harness.list_requests, 14) << "intervals of about 1, 2 and then 3.5 s within 40 s";
-  EXPECT_GE(longest, 2500 * kMs) << "the interval grows";
-  EXPECT_LE(longest, 4500 * kMs) << "the list must arrive within 6 s after discovery recovers";
+  EXPECT_GE(longest_interval, 2500 * kMs) << "the interval grows";
+  EXPECT_LE(longest_interval, 4500 * kMs) << "the list must arrive within 6 s after discovery recovers";
 }
 
 TEST(Discovery, NeverRequestsAPushedList) {
@@ -57,6 +57,7 @@
 TEST(InvalidEvents, UnknownIdsAreIgnored) {
   BalancerHarness harness(default_settings());
   harness.send_full_list(2);
+  // No request has any of these ids, and no class has the index 4.
   harness.send(ResultEvent{.id = 5, .backend = {}, .outcome = Outcome::timeout, .report = {}});
   harness.send(EstablishedEvent{6, 0, 0});
   harness.send(ConnectionUpdateEvent{7, 0, ConnectionUpdateKind::messages_slow, 1});
@@ -83,13 +84,14 @@
 }
 
 TEST(Determinism, SameSeedSameActions) {
+  // The backends of all attempts and probes, in order.
   auto trace = [](std::uint64_t seed) {
     BalancerHarness harness(default_settings(), seed);
     harness.send_full_list(20);
     for (int i = 0; i < 50; ++i) harness.open_connection(), harness.advance(100 * kMs);
     std::string text;
-    for (const Submit& s : harness.submits) text += s.backend + " ";
-    for (const std::string& p : harness.probes) text += p + " ";
+    for (const Submit& submit : harness.submits) text += submit.backend + " ";
+    for (const std::string& backend : harness.probes) text += backend + " ";
     return text;
   };
   EXPECT_EQ(trace(1), trace(1));
--- a/tests/support/exchange/player.h
+++ b/tests/support/exchange/player.h
@@ -52,9 +52,9 @@
   void expect_ready(std::size_t count, const std::string& limit);
   void expect_crowd(int count, std::string text, bool answered);
   void close_crowd(const std::string& how);
-  void registry_step(const std::string& name, const std::string& status);
+  void registry_step(const std::string& verb, const std::string& argument);
   void reload(const std::string& path, const std::string& value);
-  void answer_literally(const std::string& form, const std::string& text);
+  void answer_literally(const std::string& verb, const std::string& text);
   void registry_down();
   void registry_up();
   void fill_queue(int listener, std::vector<std::unique_ptr<Connection>>& fillers);
--- a/tests/support/exchange/registry.cpp
+++ b/tests/support/exchange/registry.cpp
@@ -1,46 +1,47 @@
-// Steps of the simulated registry of service discovery.
+// Steps of the simulated registry of service discovery, which support/exchange_player.h describes.
 #include "support/exchange/player.h"
 
 namespace marblehub::test {
 
-void ExchangePlayer::registry_step(const std::string& name, const std::string& status) {
-  if (name == "503") {
+void ExchangePlayer::registry_step(const std::string& verb, const std::string& argument) {
+  if (verb == "503") {
     fail_next_ = true;
-  } else if (name == "piece") {
+  } else if (verb == "piece") {
     REQUIRE(registry_);
-    registry_->send(with_addresses(with_line_ends(status)));
-  } else if (name == "full") {
+    registry_->send(with_addresses(with_line_ends(argument)));
+  } else if (verb == "full") {
     fill_queue(registry_fd_, registry_fillers_);
     registry_accepts_ = false;
-  } else if (name == "accept") {
+  } else if (verb == "accept") {
     drain_accept_queue(registry_fd_, registry_fillers_);
     registry_accepts_ = true;
-  } else if (name == "within") {
-    return wait_until([&] { return registry_has_request(); }, std::stoi(status));
-  } else if (name == "joins") {
-    REQUIRE(registry_connection_count_ == std::stoi(status));
-  } else if (name == "ends") {
-    return expect_registry_close(status);
-  } else if (name == "hold" || name == "release") {
-    registry_held_ = name == "hold";
-  } else if (name == "raw" || name == "body") {
-    answer_literally(name, with_addresses(with_line_ends(status)));
-  } else if (name == "fin") {
+  } else if (verb == "within") {
+    return wait_until([&] { return registry_has_request(); }, std::stoi(argument));
+  } else if (verb == "joins") {
+    REQUIRE(registry_connection_count_ == std::stoi(argument));
+  } else if (verb == "ends") {
+    return expect_registry_close(argument);
+  } else if (verb == "hold" || verb == "release") {
+    registry_held_ = verb == "hold";
+  } else if (verb == "raw" || verb == "body") {
+    answer_literally(verb, with_addresses(with_line_ends(argument)));
+  } else if (verb == "fin") {
     ::shutdown(registry_->fd, SHUT_WR);
-  } else if (name == "rst") {
+  } else if (verb == "rst") {
     registry_->reset();
     registry_.reset();
-  } else if (name == "down") {
+  } else if (verb == "down") {
     registry_down();
-  } else if (name == "up") {
+  } else if (verb == "up") {
     registry_up();
-  } else if (name == "version") {
-    list_version_ = std::stoi(status) - 1;
-  } else if (name == "hush") {
+  } else if (verb == "version") {
+    list_version_ = std::stoi(argument) - 1;
+  } else if (verb == "hush") {
     registry_->received.clear();
   } else {
-    worker_entries_[name]["status"] = status;
-    pending_changes_.push_back(worker_entries_[name]);
+    // The verb is a worker's name, the argument its new status.
+    worker_entries_[verb]["status"] = argument;
+    pending_changes_.push_back(worker_entries_[verb]);
   }
   run_once();
 }
@@ -65,11 +66,11 @@
   program_->signal(SIGHUP);
 }
 
-void ExchangePlayer::answer_literally(const std::string& form, const std::string& text) {
+void ExchangePlayer::answer_literally(const std::string& verb, const std::string& text) {
   wait_until([&] { return registry_ && registry_->received.find("\r\n\r\n") != std::string::npos; },
              kStepTimeout);
   registry_->received.clear();
-  if (form == "raw") return registry_->send(text);
+  if (verb == "raw") return registry_->send(text);
   registry_->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
 }
 
@@ -102,16 +103,17 @@
 }
 
 std::string ExchangePlayer::with_addresses(std::string text) {
-  const std::string sign = "~address ";
-  for (std::size_t at; (at = text.find(sign)) != std::string::npos;) {
-    std::size_t end = text.find('~', at + sign.size());
-    std::string worker = text.substr(at + sign.size(), end - at - sign.size());
+  const std::string marker = "~address ";
+  for (std::size_t at; (at = text.find(marker)) != std::string::npos;) {
+    std::size_t end = text.find('~', at + marker.size());
+    std::string worker = text.substr(at + marker.size(), end - at - marker.size());
     text.replace(at, end + 1 - at, loopback_address_text(port_of(workers_.at(worker).fd)));
   }
   return text;
 }
 
-// Answers the pending call if the list has changed, and the first call at once.
+// Accepts a connection of the program. Answers the pending call if a worker's entry has changed, with an
+// error after `registry 503`, and the first call after a change of address at once with the full list.
 void ExchangePlayer::serve_registry() {
   int fd = registry_fd_ < 0 || !registry_accepts_
                ? -1
@@ -128,7 +130,7 @@
   if (fail_next_) {
     registry_->send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     fail_next_ = false;
-  } else if (std::exchange(full_list_due_, false)) {  // after a change of address the full list is requested
+  } else if (std::exchange(full_list_due_, false)) {
     REQUIRE(registry_->received.starts_with("GET /registry/instances HTTP"));
     json all = json::array();
     for (auto& [name, entry] : worker_entries_) all.push_back(entry);
