--- a/src/fleet/view/gossip.cpp
+++ b/src/fleet/view/gossip.cpp
@@ -11,7 +11,7 @@
 }
 
 std::vector<MemberUpdate> Gossip::take(std::size_t members, std::size_t bytes, const std::string& except) {
-  constexpr std::size_t kMaxConsidered = 24;  // more than fit into a datagram
+  constexpr std::size_t max_considered = 24;  // more than fit into a datagram
   std::vector<std::map<std::string, QueuedUpdate>::iterator> candidates;
   for (auto it = queue_.begin(); it != queue_.end(); ++it)
     if (it->first != except) candidates.push_back(it);
@@ -22,9 +22,9 @@
   };
   std::partial_sort(
       candidates.begin(),
-      candidates.begin() + static_cast<std::ptrdiff_t>(std::min(kMaxConsidered, candidates.size())),
+      candidates.begin() + static_cast<std::ptrdiff_t>(std::min(max_considered, candidates.size())),
       candidates.end(), before);
-  if (candidates.size() > kMaxConsidered) candidates.resize(kMaxConsidered);
+  if (candidates.size() > max_considered) candidates.resize(max_considered);
   std::vector<MemberUpdate> taken;
   const int limit = max_transmissions(members);
   for (auto it : candidates) {
