--- a/tests/fleet/wallet/journal_test.cpp
+++ b/tests/fleet/wallet/journal_test.cpp
@@ -53,7 +53,7 @@
   CHECK(again.durable_lines() == 0);
 }
 
-TEST_CASE("A last line torn at any byte is dropped; a damaged line is refused", "[wallet][journal]") {
+TEST_CASE("A last line torn at any byte is dropped, a damaged line is refused", "[wallet][journal]") {
   TempFolder folder;
   {
     FileJournal journal(folder.file());
--- a/tests/fleet/wallet/wallets_test.cpp
+++ b/tests/fleet/wallet/wallets_test.cpp
@@ -176,7 +176,7 @@
   CHECK(h.wallets->reserve(fleet.now + h.offset, "partner", "", call) == ReserveResult::paused);
 }
 
-TEST_CASE("A partitioned balancer spends its slice, then pauses; a deposit is applied after the partition",
+TEST_CASE("A partitioned balancer spends its slice and pauses, a deposit is applied after the partition",
           "[wallet]") {
   WalletFleet fleet(5, partner_settings(3000), 11, true);
   fleet.run(kSecond);
--- a/tests/quic/front_test.cpp
+++ b/tests/quic/front_test.cpp
@@ -42,7 +42,7 @@
   CHECK(config_error({0, 10, 12, ""}).starts_with("nonce_length"));
 }
 
-TEST_CASE("addresses change under load while a worker drains; each request gets exactly one answer") {
+TEST_CASE("addresses change under load while a worker drains, each request gets exactly one answer") {
   QuicTestbed testbed({"g-1", "g-2", "g-3"});
   for (int i = 0; i < 40; ++i) testbed.client().open();
   testbed.run(3000, [&] {
